--- /dev/null
+++ b/Libraries/LibForwarding/DeadlineAdmission.cpp
@@ -0,0 +1,20 @@
+// The estimate for one generation.
+
+#include <LibForwarding/DeadlineAdmission.h>
+
+namespace Wisteria {
+
+absl::Duration DeadlineAdmission::prefillTime(const GenerationSize &size)
+{
+    return absl::Milliseconds(static_cast<double>(size.promptTokens) / prefillTokensPerMs);
+}
+
+bool DeadlineAdmission::canFinishInTime(const DeadlineAdmissionInput &input)
+{
+    const bool hasIdleTarget = input.backlog == absl::ZeroDuration();
+    const auto decodeTime =
+        hasIdleTarget ? absl::ZeroDuration() : minTokenTime * input.size.expectedOutputTokens;
+    return input.backlog + prefillTime(input.size) + decodeTime <= input.timeLeft;
+}
+
+} // namespace Wisteria
--- a/Libraries/LibForwarding/DispatchRule.h
+++ b/Libraries/LibForwarding/DeadlineAdmission.h
@@ -13,7 +13,7 @@
 
 namespace Wisteria {
 
-struct DispatchQuestion
+struct DeadlineAdmissionInput
 {
     GenerationSize size;
     // Until the best target would begin to read the prompt.
@@ -21,21 +21,21 @@
     absl::Duration timeLeft;
 };
 
-class DispatchRule
+class DeadlineAdmission
 {
 public:
     // Prompt tokens that a target reads in a millisecond. Source: the users' sheets.
     static constexpr double prefillTokensPerMs = 8;
     // The least time for one more token of the answer. Source: the users' sheets (a step takes 3.5 ms and
     // more).
-    static constexpr absl::Duration leastTokenTime = absl::Microseconds(3500);
+    static constexpr absl::Duration minTokenTime = absl::Microseconds(3500);
 
     // How long a target takes for the prompt alone.
-    [[nodiscard]] static absl::Duration readingTime(const GenerationSize &);
+    [[nodiscard]] static absl::Duration prefillTime(const GenerationSize &);
     // False when even an undisturbed run would end too late. The caller's guess of the length, which is often
     // far off, counts only where prompts wait at every target: with a free one, the try takes nothing from
     // others.
-    [[nodiscard]] static bool canEnd(const DispatchQuestion &);
+    [[nodiscard]] static bool canFinishInTime(const DeadlineAdmissionInput &);
 };
 
 } // namespace Wisteria
--- a/Libraries/LibForwarding/EventSplitter.cpp
+++ b/Libraries/LibForwarding/EventSplitter.cpp
@@ -14,7 +14,7 @@
 
 namespace detail {
 
-std::optional<EventNumber> eventNumber(std::string_view event)
+std::optional<EventNumber> parseEventNumber(std::string_view event)
 {
     for (absl::string_view line : absl::StrSplit(abslView(event), '\n')) {
         if (line.substr(0, 3) != "id:")
@@ -27,13 +27,13 @@
 }
 
 // The position after the blank line that ends the first event; npos when there is none.
-std::size_t endOfEvent(std::string_view buf, std::size_t from)
+std::size_t findEventEnd(std::string_view buf, std::size_t from)
 {
-    for (auto at = buf.find('\n', from); at != std::string_view::npos; at = buf.find('\n', at + 1)) {
-        if (at + 1 < buf.size() && buf[at + 1] == '\n')
-            return at + 2;
-        if (at + 2 < buf.size() && buf[at + 1] == '\r' && buf[at + 2] == '\n')
-            return at + 3;
+    for (auto pos = buf.find('\n', from); pos != std::string_view::npos; pos = buf.find('\n', pos + 1)) {
+        if (pos + 1 < buf.size() && buf[pos + 1] == '\n')
+            return pos + 2;
+        if (pos + 2 < buf.size() && buf[pos + 1] == '\r' && buf[pos + 2] == '\n')
+            return pos + 3;
     }
     return std::string_view::npos;
 }
@@ -42,23 +42,23 @@
 
 std::optional<std::vector<RawEvent>> EventSplitter::feed(std::string_view bytes)
 {
-    m_buf.append(bytes);
+    m_buffer.append(bytes);
     std::vector<RawEvent> out;
     for (;;) {
-        const auto end = detail::endOfEvent(m_buf, m_scanned);
+        const auto end = detail::findEventEnd(m_buffer, m_scanOffset);
         if (end == std::string::npos)
             break;
         RawEvent event;
-        event.bytes = m_buf.substr(0, end);
-        event.number = detail::eventNumber(event.bytes);
+        event.bytes = m_buffer.substr(0, end);
+        event.number = detail::parseEventNumber(event.bytes);
         out.push_back(std::move(event));
-        m_buf.erase(0, end);
-        m_scanned = 0;
+        m_buffer.erase(0, end);
+        m_scanOffset = 0;
     }
-    if (m_buf.size() > maxEventBytes)
+    if (m_buffer.size() > maxEventBytes)
         return std::nullopt;
     // A blank line may be split over two reads by up to three bytes.
-    m_scanned = m_buf.size() > 3 ? m_buf.size() - 3 : 0;
+    m_scanOffset = m_buffer.size() > 3 ? m_buffer.size() - 3 : 0;
     return out;
 }
 
--- a/Libraries/LibForwarding/EventSplitter.h
+++ b/Libraries/LibForwarding/EventSplitter.h
@@ -30,12 +30,12 @@
     // event.
     [[nodiscard]] std::optional<std::vector<RawEvent>> feed(std::string_view bytes);
     // Bytes of an event that is not whole yet.
-    [[nodiscard]] bool hasPartialEvent() const { return !m_buf.empty(); }
+    [[nodiscard]] bool hasPartialEvent() const { return !m_buffer.empty(); }
 
 private:
-    std::string m_buf;
+    std::string m_buffer;
     // Invariant: no event ends before this position of the buffer.
-    std::size_t m_scanned{0};
+    std::size_t m_scanOffset{0};
 };
 
 } // namespace Wisteria
--- a/Libraries/LibForwarding/ForwardedRequest.cpp
+++ b/Libraries/LibForwarding/ForwardedRequest.cpp
@@ -9,12 +9,12 @@
 namespace detail {
 
 constexpr int statusBadGateway = 502;
-constexpr int statusUnavailable = 503;
+constexpr int statusServiceUnavailable = 503;
 constexpr int statusGatewayTimeout = 504;
 constexpr int firstServerError = 500;
 // Too little time for a target to do anything. Source: one round trip to another failure domain and a
 // connect.
-constexpr absl::Duration leastUsefulTime = absl::Milliseconds(10);
+constexpr absl::Duration minUsefulTime = absl::Milliseconds(10);
 
 } // namespace detail
 
@@ -27,13 +27,13 @@
         return "targets_full";
     case RefusalReason::NoTimeLeft:
         return "no_time_left";
-    case RefusalReason::AttemptsUsedUp:
+    case RefusalReason::AttemptsExhausted:
         return "attempts_used_up";
-    case RefusalReason::RetryBudgetUsedUp:
+    case RefusalReason::RetryBudgetExhausted:
         return "retry_budget_used_up";
     case RefusalReason::TimedOut:
         return "timed_out";
-    case RefusalReason::AnswerLost:
+    case RefusalReason::ResponseLost:
         return "answer_lost";
     case RefusalReason::Stopping:
         return "stopping";
@@ -41,91 +41,93 @@
     return "unknown";
 }
 
-absl::Duration retryAfter(absl::Duration patience, absl::Duration outage)
+absl::Duration retryAfter(absl::Duration callerTimeout, absl::Duration outage)
 {
     // An outage of unknown length is expected to last as long again.
-    const auto wished = std::max(outage, patience / retryPatienceShare);
-    return std::clamp(wished, shortestRetryAfter,
-                      std::max(shortestRetryAfter, patience / longestRetryPatienceShare));
+    const auto delay = std::max(outage, callerTimeout / minRetryAfterDivisor);
+    return std::clamp(delay, minRetryAfter, std::max(minRetryAfter, callerTimeout / maxRetryAfterDivisor));
 }
 
-ForwardedRequest::ForwardedRequest(const ForwardingTerms &terms, RepeatGate &gate, absl::Time now)
-    : m_terms(terms), m_gate(gate), m_arrivedAt(now), m_lastEvent(terms.lastEvent), m_attemptStartedAt(now),
-      m_lastEventAt(now), m_nextProbeAt(now)
+ForwardedRequest::ForwardedRequest(const ForwardingParameters &parameters, RetryGate &retryGate,
+                                   absl::Time now)
+    : m_parameters(parameters), m_retryGate(retryGate), m_arrivedAt(now), m_lastEvent(parameters.lastEvent),
+      m_attemptStartedAt(now), m_lastEventAt(now), m_nextProbeAt(now)
 {
 }
 
-absl::Time ForwardedRequest::answerBy() const
+absl::Time ForwardedRequest::deadline() const
 {
-    return m_arrivedAt + std::min(m_terms.routeTimeout, m_terms.patience);
+    return m_arrivedAt + std::min(m_parameters.routeTimeout, m_parameters.callerTimeout);
 }
 
-ForwardingActions ForwardedRequest::begin(absl::Time now)
+ForwardingActionList ForwardedRequest::begin(absl::Time now)
 {
     startAttempt(now, false);
-    return std::exchange(m_out, {});
+    return std::exchange(m_actions, {});
 }
 
-ForwardingActions ForwardedRequest::handle(const ForwardingEvent &event, absl::Time now)
+ForwardingActionList ForwardedRequest::handle(const ForwardingEvent &event, absl::Time now)
 {
     if (m_state != State::Finished)
         std::visit([this, now](const auto &it) { on(it, now); }, event);
-    return std::exchange(m_out, {});
+    return std::exchange(m_actions, {});
 }
 
 void ForwardedRequest::startAttempt(absl::Time now, bool fromCopy)
 {
-    const auto timeLeft = answerBy() - now;
-    if (timeLeft < detail::leastUsefulTime) {
-        giveUp(RefusalReason::TimedOut);
+    const auto timeLeft = deadline() - now;
+    if (timeLeft < detail::minUsefulTime) {
+        fail(RefusalReason::TimedOut);
         return;
     }
     m_state = State::Attempting;
     m_hasEvents = false;
     m_attemptStartedAt = now;
     m_lastEventAt = now;
-    m_nextProbeAt = now + firstProbe;
-    m_firstEventBy = absl::InfiniteFuture();
-    m_out.emplace_back(Actions::StartAttempt{
-        .number = ++m_attempts, .fromCopy = fromCopy, .lastEvent = m_lastEvent, .timeLeft = timeLeft});
-    ++m_runs;
-    m_hasCopy = m_terms.usesCopies;
+    m_nextProbeAt = now + firstProbeDelay;
+    m_firstEventDeadline = absl::InfiniteFuture();
+    m_actions.emplace_back(ForwardingActions::StartAttempt{.number = ++m_lastAttemptNumber,
+                                                           .fromCopy = fromCopy,
+                                                           .lastEvent = m_lastEvent,
+                                                           .timeLeft = timeLeft});
+    ++m_executedAttempts;
+    m_hasCopy = m_parameters.usesCopies;
     setTimer(now);
 }
 
-void ForwardedRequest::repeatOrGiveUp(RefusalReason reason, absl::Time now, bool fromCopy)
+void ForwardedRequest::retryOrFail(RefusalReason reason, absl::Time now, bool fromCopy)
 {
-    if (m_mayHaveRun && !mayRepeat(m_terms.kind)) {
-        giveUp(reason);
+    if (m_mayHaveExecuted && !isRetryable(m_parameters.kind)) {
+        fail(reason);
         return;
     }
-    if (m_runs >= std::max(m_terms.maxAttempts, 1)) {
-        giveUp(RefusalReason::AttemptsUsedUp);
+    if (m_executedAttempts >= std::max(m_parameters.maxAttempts, 1)) {
+        fail(RefusalReason::AttemptsExhausted);
         return;
     }
-    if (!m_gate.tryTakeRepeat(now)) {
-        giveUp(RefusalReason::RetryBudgetUsedUp);
+    if (!m_retryGate.tryAcquireRetry(now)) {
+        fail(RefusalReason::RetryBudgetExhausted);
         return;
     }
     startAttempt(now, fromCopy);
 }
 
-void ForwardedRequest::giveUp(RefusalReason reason)
+void ForwardedRequest::fail(RefusalReason reason)
 {
-    if (m_isAnswering) {
-        m_out.emplace_back(Actions::BreakOff{reason});
-    } else if (m_holdsFailure) {
-        m_out.emplace_back(Actions::DeliverAnswer{});
+    if (m_hasResponseStarted) {
+        m_actions.emplace_back(ForwardingActions::AbortResponse{reason});
+    } else if (m_hasErrorResponse) {
+        m_actions.emplace_back(ForwardingActions::SendResponse{});
     } else {
-        Actions::Refuse refusal{.isNotRun = !m_mayHaveRun, .reason = reason};
-        if (refusal.isNotRun) {
-            refusal.status = detail::statusUnavailable;
-            refusal.retryAfter = retryAfter(m_terms.patience, absl::ZeroDuration());
+        ForwardingActions::Refuse refusal{.isNotExecuted = !m_mayHaveExecuted, .reason = reason};
+        if (refusal.isNotExecuted) {
+            refusal.status = detail::statusServiceUnavailable;
+            refusal.retryAfter = retryAfter(m_parameters.callerTimeout, absl::ZeroDuration());
         } else {
             refusal.status =
                 reason == RefusalReason::TimedOut ? detail::statusGatewayTimeout : detail::statusBadGateway;
         }
-        m_out.emplace_back(refusal);
+        m_actions.emplace_back(refusal);
     }
     finish();
 }
@@ -135,32 +137,32 @@
     m_state = State::Finished;
 }
 
-void ForwardedRequest::on(const Events::NoTarget &, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::NoTarget &, absl::Time)
 {
     // The attempt did not begin.
-    --m_runs;
-    giveUp(m_mayHaveRun ? RefusalReason::AnswerLost : RefusalReason::NoTarget);
+    --m_executedAttempts;
+    fail(m_mayHaveExecuted ? RefusalReason::ResponseLost : RefusalReason::NoTarget);
 }
 
-void ForwardedRequest::on(const Events::NoTimeLeft &, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::NoTimeLeft &, absl::Time)
 {
     // The attempt did not begin.
-    --m_runs;
-    giveUp(m_mayHaveRun ? RefusalReason::AnswerLost : RefusalReason::NoTimeLeft);
+    --m_executedAttempts;
+    fail(m_mayHaveExecuted ? RefusalReason::ResponseLost : RefusalReason::NoTimeLeft);
 }
 
-void ForwardedRequest::on(const Events::AttemptPlaced &event, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::AttemptSent &event, absl::Time)
 {
-    m_firstEventBy = m_attemptStartedAt
-        + std::max(firstEventPatience * event.expectedFirstEvent, m_terms.latencyObjective);
+    m_firstEventDeadline = m_attemptStartedAt
+        + std::max(firstEventTimeoutFactor * event.expectedTimeToFirstEvent, m_parameters.latencyObjective);
 }
 
-void ForwardedRequest::on(const Events::AttemptNotRun &event, absl::Time now)
+void ForwardedRequest::on(const ForwardingEvents::AttemptNotExecuted &event, absl::Time now)
 {
-    --m_runs;
+    --m_executedAttempts;
     if (event.isCopyMissing) {
         m_hasCopy = false;
-        repeatOrGiveUp(RefusalReason::AnswerLost, now, false);
+        retryOrFail(RefusalReason::ResponseLost, now, false);
         return;
     }
     if (!event.wasRefused) {
@@ -168,125 +170,126 @@
         startAttempt(now, false);
         return;
     }
-    if (!m_gate.tryTakeRepeat(now)) {
-        giveUp(RefusalReason::TargetsFull);
+    if (!m_retryGate.tryAcquireRetry(now)) {
+        fail(RefusalReason::TargetsFull);
         return;
     }
     startAttempt(now, false);
 }
 
-void ForwardedRequest::on(const Events::StreamOpened &, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::StreamOpened &, absl::Time)
 {
-    m_mayHaveRun = true;
+    m_mayHaveExecuted = true;
 }
 
-void ForwardedRequest::on(const Events::EventsArrived &event, absl::Time now)
+void ForwardedRequest::on(const ForwardingEvents::EventsReceived &event, absl::Time now)
 {
-    m_mayHaveRun = true;
+    m_mayHaveExecuted = true;
     m_hasEvents = true;
     m_lastEvent = event.last;
     m_lastEventAt = now;
-    if (!m_isAnswering) {
-        m_isAnswering = true;
-        m_out.emplace_back(Actions::OpenAnswer{});
+    if (!m_hasResponseStarted) {
+        m_hasResponseStarted = true;
+        m_actions.emplace_back(ForwardingActions::StartResponse{});
     }
     setTimer(now);
 }
 
-void ForwardedRequest::on(const Events::StreamEnded &, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::StreamCompleted &, absl::Time)
 {
-    if (!m_isAnswering)
-        m_out.emplace_back(Actions::OpenAnswer{});
-    m_out.emplace_back(Actions::CompleteStream{});
+    if (!m_hasResponseStarted)
+        m_actions.emplace_back(ForwardingActions::StartResponse{});
+    m_actions.emplace_back(ForwardingActions::CompleteStream{});
     finish();
 }
 
-void ForwardedRequest::on(const Events::AnswerArrived &event, absl::Time now)
+void ForwardedRequest::on(const ForwardingEvents::ResponseReceived &event, absl::Time now)
 {
-    m_mayHaveRun = true;
+    m_mayHaveExecuted = true;
     if (event.status < detail::firstServerError) {
-        if (m_isAnswering) {
+        if (m_hasResponseStarted) {
             // A plain answer cannot continue a stream that has begun.
-            giveUp(RefusalReason::AnswerLost);
+            fail(RefusalReason::ResponseLost);
             return;
         }
-        m_out.emplace_back(Actions::DeliverAnswer{});
+        m_actions.emplace_back(ForwardingActions::SendResponse{});
         finish();
         return;
     }
-    m_holdsFailure = true;
-    if (!mayRepeat(m_terms.kind)) {
-        giveUp(RefusalReason::AnswerLost);
+    m_hasErrorResponse = true;
+    if (!isRetryable(m_parameters.kind)) {
+        fail(RefusalReason::ResponseLost);
         return;
     }
-    repeatOrGiveUp(RefusalReason::AnswerLost, now, false);
+    retryOrFail(RefusalReason::ResponseLost, now, false);
 }
 
-void ForwardedRequest::on(const Events::AttemptLost &, absl::Time now)
+void ForwardedRequest::on(const ForwardingEvents::AttemptLost &, absl::Time now)
 {
-    m_mayHaveRun = true;
+    m_mayHaveExecuted = true;
     // Engines hand out no copy of a run that has not sent an event.
-    repeatOrGiveUp(RefusalReason::AnswerLost, now, m_hasCopy && m_hasEvents);
+    retryOrFail(RefusalReason::ResponseLost, now, m_hasCopy && m_hasEvents);
 }
 
-void ForwardedRequest::on(const Events::CallerLeft &, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::CallerDisconnected &, absl::Time)
 {
     if (m_state == State::Attempting)
-        m_out.emplace_back(Actions::CancelAttempt{});
+        m_actions.emplace_back(ForwardingActions::CancelAttempt{});
     finish();
 }
 
-void ForwardedRequest::on(const Events::StopNow &, absl::Time)
+void ForwardedRequest::on(const ForwardingEvents::ShutdownRequested &, absl::Time)
 {
     if (m_state == State::Attempting)
-        m_out.emplace_back(Actions::CancelAttempt{});
-    m_mayHaveRun = m_mayHaveRun || m_state == State::Attempting;
-    giveUp(RefusalReason::Stopping);
+        m_actions.emplace_back(ForwardingActions::CancelAttempt{});
+    m_mayHaveExecuted = m_mayHaveExecuted || m_state == State::Attempting;
+    fail(RefusalReason::Stopping);
 }
 
-void ForwardedRequest::on(const Events::Tick &, absl::Time now)
+void ForwardedRequest::on(const ForwardingEvents::Tick &, absl::Time now)
 {
     if (m_state != State::Attempting)
         return;
-    if (now >= answerBy()) {
-        m_out.emplace_back(Actions::CancelAttempt{});
-        m_mayHaveRun = true;
-        giveUp(RefusalReason::TimedOut);
+    if (now >= deadline()) {
+        m_actions.emplace_back(ForwardingActions::CancelAttempt{});
+        m_mayHaveExecuted = true;
+        fail(RefusalReason::TimedOut);
         return;
     }
-    if (now >= stallAt() && m_runs < m_terms.maxAttempts && m_gate.tryTakeRepeat(now)) {
-        m_out.emplace_back(Actions::CancelAttempt{TargetFault::Silent});
-        m_mayHaveRun = true;
+    if (now >= stallDeadline() && m_executedAttempts < m_parameters.maxAttempts
+        && m_retryGate.tryAcquireRetry(now)) {
+        m_actions.emplace_back(ForwardingActions::CancelAttempt{TargetFault::Unresponsive});
+        m_mayHaveExecuted = true;
         startAttempt(now, m_hasCopy && m_hasEvents);
         return;
     }
-    if (isStream(m_terms.kind) && !m_hasEvents && now >= m_nextProbeAt) {
+    if (isStream(m_parameters.kind) && !m_hasEvents && now >= m_nextProbeAt) {
         m_nextProbeAt = now + probeInterval;
-        m_out.emplace_back(Actions::ProbeTarget{});
+        m_actions.emplace_back(ForwardingActions::ProbeTarget{});
     }
     setTimer(now);
 }
 
-absl::Time ForwardedRequest::stallAt() const
+absl::Time ForwardedRequest::stallDeadline() const
 {
-    if (!mayRepeat(m_terms.kind))
+    if (!isRetryable(m_parameters.kind))
         return absl::InfiniteFuture();
-    if (!isStream(m_terms.kind))
-        return m_attemptStartedAt + plainStallOfObjective * m_terms.latencyObjective;
+    if (!isStream(m_parameters.kind))
+        return m_attemptStartedAt + plainRequestTimeoutFactor * m_parameters.latencyObjective;
     if (!m_hasEvents)
-        return m_firstEventBy;
-    return m_lastEventAt + stallShareOfGap * m_terms.longestGap;
+        return m_firstEventDeadline;
+    return m_lastEventAt + stallFractionOfEventGap * m_parameters.maxEventGap;
 }
 
 void ForwardedRequest::setTimer(absl::Time now)
 {
-    auto at = answerBy();
-    if (isStream(m_terms.kind) && !m_hasEvents)
+    auto at = deadline();
+    if (isStream(m_parameters.kind) && !m_hasEvents)
         at = std::min(at, m_nextProbeAt);
     // A stall that was passed over for lack of budget is looked at again with the next timer.
-    if (const auto stall = stallAt(); m_runs < m_terms.maxAttempts)
-        at = std::min(at, stall > now ? stall : now + absl::Milliseconds(50));
-    m_out.emplace_back(Actions::SetTimer{std::max(at, now)});
+    if (const auto stallTime = stallDeadline(); m_executedAttempts < m_parameters.maxAttempts)
+        at = std::min(at, stallTime > now ? stallTime : now + absl::Milliseconds(50));
+    m_actions.emplace_back(ForwardingActions::SetTimer{std::max(at, now)});
 }
 
 } // namespace Wisteria
--- a/Libraries/LibForwarding/CopyKeeper.h
+++ b/Libraries/LibForwarding/KvCopyManager.h
@@ -19,22 +19,22 @@
 namespace Wisteria {
 
 // A copy from which a stream can go on.
-struct KeptCopy
+struct KvCopy
 {
     TargetId holder;
     // The name that the target gave the copy; empty for one that the target sends by itself.
     std::string handle;
 };
 
-namespace CopyEvents {
+namespace KvCopyEvents {
 
 // An attempt began whose target sends a copy to the holder by itself; empty when no holder was to be had.
-struct AttemptBegan
+struct AttemptStarted
 {
     std::optional<TargetId> holder;
 };
 // The stream has events, so that there is something to copy.
-struct EventsBegan
+struct FirstEventReceived
 {
 };
 // The target is lost, leaving or replaced; does nothing unless it is the holder.
@@ -43,21 +43,21 @@
     TargetId target;
 };
 // An answer counts only for the latest call of the running attempt.
-struct CopyMade
+struct CopyCreated
 {
-    int call{0};
+    int callId{0};
     TargetId holder;
     std::string handle;
 };
 // The holder had no room or could not be reached, or there is none.
-struct CopyRefused
+struct CopyFailed
 {
-    int call{0};
+    int callId{0};
 };
 // The target can make no copies of this run.
-struct CopyImpossible
+struct CopyUnsupported
 {
-    int call{0};
+    int callId{0};
 };
 // The attempt is over; a copy by name is given back.
 struct AttemptEnded
@@ -67,22 +67,23 @@
 {
 };
 
-} // namespace CopyEvents
+} // namespace KvCopyEvents
 
-using CopyEvent = std::variant<CopyEvents::AttemptBegan, CopyEvents::EventsBegan, CopyEvents::TargetLost,
-                               CopyEvents::CopyMade, CopyEvents::CopyRefused, CopyEvents::CopyImpossible,
-                               CopyEvents::AttemptEnded, CopyEvents::Tick>;
+using KvCopyEvent =
+    std::variant<KvCopyEvents::AttemptStarted, KvCopyEvents::FirstEventReceived, KvCopyEvents::TargetLost,
+                 KvCopyEvents::CopyCreated, KvCopyEvents::CopyFailed, KvCopyEvents::CopyUnsupported,
+                 KvCopyEvents::AttemptEnded, KvCopyEvents::Tick>;
 
-namespace CopyActions {
+namespace KvCopyActions {
 
 // Have the target send a copy to the holder, or to one that the host chooses.
-struct MakeCopy
+struct CreateCopy
 {
     // Comes back with the answer.
-    int call{0};
+    int callId{0};
     std::optional<TargetId> holder;
 };
-struct DropCopy
+struct DeleteCopy
 {
     std::string handle;
 };
@@ -91,47 +92,48 @@
     absl::Time at;
 };
 
-} // namespace CopyActions
+} // namespace KvCopyActions
 
-using CopyAction = std::variant<CopyActions::MakeCopy, CopyActions::DropCopy, CopyActions::SetTimer>;
+using KvCopyAction =
+    std::variant<KvCopyActions::CreateCopy, KvCopyActions::DeleteCopy, KvCopyActions::SetTimer>;
 
-class CopyKeeper
+class KvCopyManager
 {
 public:
     // A copy by name is renewed this often. Source: targets keep it for four seconds (the users' sheets).
     static constexpr absl::Duration renewInterval = absl::Milliseconds(1500);
     // Wait after a refusal.
-    static constexpr absl::Duration refusedPause = absl::Milliseconds(500);
+    static constexpr absl::Duration retryDelay = absl::Milliseconds(500);
 
-    [[nodiscard]] std::vector<CopyAction> handle(const CopyEvent &, absl::Time now);
+    [[nodiscard]] std::vector<KvCopyAction> handle(const KvCopyEvent &, absl::Time now);
     // The copy from which the stream can go on now.
-    [[nodiscard]] const std::optional<KeptCopy> &copy() const { return m_copy; }
+    [[nodiscard]] const std::optional<KvCopy> &copy() const { return m_copy; }
 
 private:
-    void on(const CopyEvents::AttemptBegan &, absl::Time now);
-    void on(const CopyEvents::EventsBegan &, absl::Time now);
-    void on(const CopyEvents::TargetLost &, absl::Time now);
-    void on(const CopyEvents::CopyMade &, absl::Time now);
-    void on(const CopyEvents::CopyRefused &, absl::Time now);
-    void on(const CopyEvents::CopyImpossible &, absl::Time now);
-    void on(const CopyEvents::AttemptEnded &, absl::Time now);
-    void on(const CopyEvents::Tick &, absl::Time now);
-
-    void makeCopy();
+    void on(const KvCopyEvents::AttemptStarted &, absl::Time now);
+    void on(const KvCopyEvents::FirstEventReceived &, absl::Time now);
+    void on(const KvCopyEvents::TargetLost &, absl::Time now);
+    void on(const KvCopyEvents::CopyCreated &, absl::Time now);
+    void on(const KvCopyEvents::CopyFailed &, absl::Time now);
+    void on(const KvCopyEvents::CopyUnsupported &, absl::Time now);
+    void on(const KvCopyEvents::AttemptEnded &, absl::Time now);
+    void on(const KvCopyEvents::Tick &, absl::Time now);
+
+    void requestCopy();
     // Takes note of the answer to a call; false when it is not the awaited one.
-    [[nodiscard]] bool endCall(int call);
+    [[nodiscard]] bool completeCall(int callId);
     void setTimer(absl::Time at);
 
-    std::optional<KeptCopy> m_copy;
+    std::optional<KvCopy> m_copy;
     bool m_hasEvents{false};
-    bool m_isImpossible{false};
-    // A call for a copy is under way: the one numbered m_calls.
-    bool m_isCopying{false};
+    bool m_isDisabled{false};
+    // A call for a copy is under way: the one numbered m_lastCallId.
+    bool m_isCallPending{false};
     // Calls of all attempts. Invariant: never goes back, so that an answer to an earlier attempt is known as
     // such.
-    int m_calls{0};
-    std::optional<absl::Time> m_copyAt;
-    std::vector<CopyAction> m_out;
+    int m_lastCallId{0};
+    std::optional<absl::Time> m_nextCopyAt;
+    std::vector<KvCopyAction> m_actions;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibForwarding/PeerReport.cpp
+++ b/Libraries/LibForwarding/PeerReport.cpp
@@ -15,7 +15,7 @@
     Domain,
     CallerAddress,
     PeerAddress,
-    Life,
+    RouterIncarnation,
     Phase,
     Sequence,
     ConfigurationRevision,
@@ -39,7 +39,7 @@
     }
     nlohmann::json out = nlohmann::json::array();
     for (const auto &[id, load] : sorted)
-        out.push_back({id.value(), load.requests, load.unreadTokens, load.memoryTokens});
+        out.push_back({id.value(), load.requests, load.pendingPrefillTokens, load.memoryTokens});
     return out;
 }
 
@@ -47,7 +47,7 @@
 {
     nlohmann::json out = nlohmann::json::array();
     for (const auto &[service, it] : counts)
-        out.push_back({service.value(), it.requests, it.repeats});
+        out.push_back({service.value(), it.requests, it.retries});
     return out;
 }
 
@@ -103,10 +103,10 @@
         report.router.domain = FailureDomain(json.at(detail::Domain).get<std::string>());
         report.router.callerAddress = json.at(detail::CallerAddress).get<std::string>();
         report.router.peerAddress = json.at(detail::PeerAddress).get<std::string>();
-        report.router.incarnation = Incarnation(json.at(detail::Life).get<std::uint64_t>());
+        report.router.incarnation = Incarnation(json.at(detail::RouterIncarnation).get<std::uint64_t>());
         report.sequence = json.at(detail::Sequence).get<std::uint64_t>();
         const int phase = json.at(detail::Phase).get<int>();
-        if (phase < 0 || phase > static_cast<int>(RouterPhase::Leaving))
+        if (phase < 0 || phase > static_cast<int>(RouterPhase::Draining))
             return makeError(ErrorCode::InvalidRequest, "unknown phase");
         report.router.phase = static_cast<RouterPhase>(phase);
         report.configurationRevision =
--- a/Libraries/LibForwarding/PeerReport.h
+++ b/Libraries/LibForwarding/PeerReport.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include <LibCore/Error.h>
-#include <LibForwarding/RepeatBudget.h>
-#include <LibForwarding/RouterRoster.h>
+#include <LibForwarding/RouterRegistry.h>
+#include <LibForwarding/ServiceRetryBudget.h>
 #include <LibForwarding/TargetPool.h>
 
 #include <string>
@@ -22,8 +22,8 @@
     // Loads in one report; the largest ones where there are more. Source: keeps a report in one datagram.
     static constexpr std::size_t maxLoads = 40;
 
-    // The router itself; `heardAt` is not part of the report.
-    RouterRoster::Member router;
+    // The router itself; `lastReportAt` is not part of the report.
+    RouterRegistry::Member router;
     std::uint64_t sequence{0};
     ObjectVersion configurationRevision;
     ObjectVersion targetsRevision;
--- a/Libraries/LibForwarding/Request.h
+++ b/Libraries/LibForwarding/Request.h
@@ -33,7 +33,7 @@
     RequestId id;
     std::string apiKey;
     // How long the caller will wait; unset when it does not say.
-    std::optional<absl::Duration> patience;
+    std::optional<absl::Duration> callerTimeout;
     // The caller already holds the stream up to this event.
     std::optional<EventNumber> lastEvent;
     GenerationSize size;
--- a/Libraries/LibForwarding/RouteTable.cpp
+++ b/Libraries/LibForwarding/RouteTable.cpp
@@ -71,10 +71,10 @@
     double total = 0;
     for (const auto &it : route.shares)
         total += it.weight;
-    double rest = draw * total;
+    double remaining = draw * total;
     for (const auto &it : route.shares) {
-        rest -= it.weight;
-        if (rest < 0)
+        remaining -= it.weight;
+        if (remaining < 0)
             return it.service;
     }
     return route.shares.back().service;
--- a/Libraries/LibForwarding/RouterRoster.cpp
+++ b/Libraries/LibForwarding/RouterRegistry.cpp
@@ -1,14 +1,14 @@
 // Members by id.
 
-#include <LibForwarding/RouterRoster.h>
+#include <LibForwarding/RouterRegistry.h>
 
 namespace Wisteria {
 
-void RouterRoster::upsertRecord(const Member &record)
+void RouterRegistry::upsertRecord(const Member &record)
 {
     auto &member = m_members[record.id];
     // What the router says of itself is newer.
-    if (member.heardAt != absl::InfinitePast())
+    if (member.lastReportAt != absl::InfinitePast())
         return;
     member.id = record.id;
     member.domain = record.domain;
@@ -16,7 +16,7 @@
     member.peerAddress = record.peerAddress;
 }
 
-bool RouterRoster::noteReport(const Member &report, absl::Time now)
+bool RouterRegistry::recordReport(const Member &report, absl::Time now)
 {
     auto &member = m_members[report.id];
     // After a long silence the order of incarnations counts less: the clock that numbers them may have been
@@ -25,17 +25,17 @@
         return false;
     const bool wasAlive = isAlive(report.id, now) && report.incarnation == member.incarnation;
     member = report;
-    member.heardAt = now;
+    member.lastReportAt = now;
     return !wasAlive;
 }
 
-bool RouterRoster::isAlive(const RouterId &id, absl::Time now) const
+bool RouterRegistry::isAlive(const RouterId &id, absl::Time now) const
 {
     const auto it = m_members.find(id);
-    return it != m_members.end() && now - it->second.heardAt <= silenceLimit;
+    return it != m_members.end() && now - it->second.lastReportAt <= livenessTimeout;
 }
 
-std::vector<RouterRoster::Member> RouterRoster::members() const
+std::vector<RouterRegistry::Member> RouterRegistry::members() const
 {
     std::vector<Member> out;
     for (const auto &[id, member] : m_members)
@@ -43,7 +43,7 @@
     return out;
 }
 
-std::size_t RouterRoster::aliveCount(absl::Time now) const
+std::size_t RouterRegistry::aliveCount(absl::Time now) const
 {
     std::size_t n = 0;
     for (const auto &[id, member] : m_members)
@@ -51,7 +51,7 @@
     return n;
 }
 
-bool RouterRoster::isStoreTrustedByOthers(absl::Time now) const
+bool RouterRegistry::isStoreTrustedByOthers(absl::Time now) const
 {
     for (const auto &[id, member] : m_members) {
         if (member.isStoreTrusted && isAlive(id, now))
@@ -60,31 +60,31 @@
     return false;
 }
 
-bool RouterRoster::shouldWatch(const Member &self, std::size_t perDomain, absl::Time now) const
+bool RouterRegistry::shouldWatchStore(const Member &self, std::size_t perDomain, absl::Time now) const
 {
-    std::size_t before = 0;
+    std::size_t earlierCandidates = 0;
     for (const auto &[id, member] : m_members) {
         const bool isCandidate =
             member.isStoreTrusted && member.phase == RouterPhase::Serving && isAlive(id, now);
         if (isCandidate && member.domain == self.domain && id < self.id)
-            ++before;
+            ++earlierCandidates;
     }
-    return before < perDomain;
+    return earlierCandidates < perDomain;
 }
 
-std::vector<std::string> RouterRoster::entryPoints(const FailureDomain &domain, absl::Time now) const
+std::vector<std::string> RouterRegistry::entryPoints(const FailureDomain &domain, absl::Time now) const
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> sameDomain;
+    std::vector<std::string> otherDomains;
     for (const auto &[id, member] : m_members) {
         if (!isAlive(id, now) || member.phase != RouterPhase::Serving)
             continue;
-        (member.domain == domain ? near : far).push_back(member.callerAddress);
+        (member.domain == domain ? sameDomain : otherDomains).push_back(member.callerAddress);
     }
-    near.insert(near.end(), far.begin(), far.end());
-    if (near.size() > maxEntryPoints)
-        near.resize(maxEntryPoints);
-    return near;
+    sameDomain.insert(sameDomain.end(), otherDomains.begin(), otherDomains.end());
+    if (sameDomain.size() > maxEntryPoints)
+        sameDomain.resize(maxEntryPoints);
+    return sameDomain;
 }
 
 } // namespace Wisteria
--- a/Libraries/LibForwarding/RouterRoster.h
+++ b/Libraries/LibForwarding/RouterRegistry.h
@@ -13,13 +13,13 @@
 
 namespace Wisteria {
 
-enum class RouterPhase { Starting, Serving, Leaving };
+enum class RouterPhase { Starting, Serving, Draining };
 
-class RouterRoster
+class RouterRegistry
 {
 public:
     // A router is taken for lost when nothing was heard of it for this long. Source: four report intervals.
-    static constexpr absl::Duration silenceLimit = absl::Milliseconds(2100);
+    static constexpr absl::Duration livenessTimeout = absl::Milliseconds(2100);
     // Most entry points in one answer. Source: callers use up to 64.
     static constexpr std::size_t maxEntryPoints = 64;
 
@@ -33,14 +33,14 @@
         RouterPhase phase{RouterPhase::Starting};
         // The router reads the store without trouble.
         bool isStoreTrusted{false};
-        absl::Time heardAt{absl::InfinitePast()};
+        absl::Time lastReportAt{absl::InfinitePast()};
     };
 
     // The entry in the platform's store; it proves nothing about life.
     void upsertRecord(const Member &);
     // A report of the router itself, with its incarnation and phase. Returns true when the router was not
     // alive before. Reports of an earlier incarnation are ignored.
-    bool noteReport(const Member &report, absl::Time now);
+    bool recordReport(const Member &report, absl::Time now);
 
     [[nodiscard]] bool isAlive(const RouterId &, absl::Time now) const;
     [[nodiscard]] std::vector<Member> members() const;
@@ -49,7 +49,7 @@
     [[nodiscard]] bool isStoreTrustedByOthers(absl::Time now) const;
     // The router is one of the first `perDomain` of its domain, by id, among those that live and have the
     // store. The others leave the watching of the store to them. A router that hears of nobody watches.
-    [[nodiscard]] bool shouldWatch(const Member &self, std::size_t perDomain, absl::Time now) const;
+    [[nodiscard]] bool shouldWatchStore(const Member &self, std::size_t perDomain, absl::Time now) const;
     // Caller addresses of the serving routers, those of the domain first; the own one is not among them.
     [[nodiscard]] std::vector<std::string> entryPoints(const FailureDomain &, absl::Time now) const;
 
--- a/Libraries/LibForwarding/RepeatBudget.h
+++ b/Libraries/LibForwarding/ServiceRetryBudget.h
@@ -18,39 +18,39 @@
 struct RequestCounts
 {
     std::uint64_t requests{0};
-    std::uint64_t repeats{0};
+    std::uint64_t retries{0};
 
     bool operator==(const RequestCounts &) const = default;
 };
 
-struct RepeatLimits
+struct RetryLimits
 {
     // Repeats for each request. Source: settings.
     double ratio{0.2};
     // Repeats in a window that need no request, over all routers. Source: settings.
-    double slack{10};
+    double minRetriesPerWindow{10};
     absl::Duration window{absl::Seconds(10)};
 };
 
-class RepeatBudget final : public RepeatGate
+class ServiceRetryBudget final : public RetryGate
 {
 public:
     // Part of what is allowed that is used, since windows and routers' counts do not line up exactly.
-    static constexpr double usedShare = 0.85;
+    static constexpr double safetyFactor = 0.85;
 
     // Repeats of the others are heard of after this long. Source: PeerLink's longest interval.
-    static constexpr absl::Duration reportLag = absl::Milliseconds(500);
+    static constexpr absl::Duration reportDelay = absl::Milliseconds(500);
 
-    explicit RepeatBudget(const RepeatLimits &limits) : m_limits(limits) { }
+    explicit ServiceRetryBudget(const RetryLimits &limits) : m_limits(limits) { }
 
     // The window's length stays as it is.
-    void setLimits(const RepeatLimits &);
-    void noteRequest(absl::Time now);
+    void setLimits(const RetryLimits &);
+    void recordRequest(absl::Time now);
     // What another router counted since it was last heard of.
-    void noteOthers(std::uint64_t requests, std::uint64_t repeats, absl::Time now);
+    void recordPeerCounts(std::uint64_t requests, std::uint64_t retries, absl::Time now);
     // Routers that are heard of, and routers that there are, this one included in both.
-    void setRouters(std::size_t heard, std::size_t known);
-    [[nodiscard]] bool tryTakeRepeat(absl::Time now) override;
+    void setRouterCounts(std::size_t reachable, std::size_t total);
+    [[nodiscard]] bool tryAcquireRetry(absl::Time now) override;
     // Since the process started.
     [[nodiscard]] const RequestCounts &counts() const { return m_counts; }
 
@@ -59,20 +59,20 @@
     {
         std::int64_t index{-1};
         std::uint32_t requests{0};
-        std::uint32_t repeats{0};
-        std::uint64_t otherRequests{0};
-        std::uint64_t otherRepeats{0};
+        std::uint32_t retries{0};
+        std::uint64_t peerRequests{0};
+        std::uint64_t peerRetries{0};
     };
     static constexpr std::int64_t bucketsPerWindow = 20;
 
     [[nodiscard]] std::int64_t indexAt(absl::Time now) const;
     [[nodiscard]] Bucket &bucketAt(absl::Time now);
 
-    RepeatLimits m_limits;
+    RetryLimits m_limits;
     RequestCounts m_counts;
-    std::size_t m_heard{1};
-    // Invariant: at least m_heard.
-    std::size_t m_known{1};
+    std::size_t m_reachableRouters{1};
+    // Invariant: at least m_reachableRouters.
+    std::size_t m_totalRouters{1};
     // Invariant: the bucket with index i is at i % size, and stale once its `index` is older than a window.
     std::array<Bucket, bucketsPerWindow + 1> m_buckets{};
 };
--- a/Libraries/LibForwarding/TargetPool.cpp
+++ b/Libraries/LibForwarding/TargetPool.cpp
@@ -2,7 +2,7 @@
 
 #include <LibForwarding/TargetPool.h>
 
-#include <LibForwarding/DispatchRule.h>
+#include <LibForwarding/DeadlineAdmission.h>
 
 #include <algorithm>
 #include <limits>
@@ -13,17 +13,17 @@
 
 // Delay that one more running generation adds to the others, in ms over its life. Source: step times of the
 // users' sheets (0.09 ms a step and slot, about a thousand steps).
-constexpr double runningCostMs = 90;
+constexpr double runningRequestCostMs = 90;
 // Cost of a plain request that is ahead at the same target. Source: mean work time of the users' sheets.
-constexpr double plainRequestMs = 15;
+constexpr double plainRequestCostMs = 15;
 // A generation that finds no room waits until another one ends. Below that, memory in use is balanced, so
 // that the copies of many streams do not fill a few targets.
 constexpr double memoryCostMs = 600;
-constexpr double noRoomCostMs = 3000;
-constexpr double noRoomSlopeMs = 12000;
-constexpr double memoryHeadroom = 0.92;
+constexpr double memoryFullCostMs = 3000;
+constexpr double memoryFullSlopeMs = 12000;
+constexpr double memoryFullThreshold = 0.92;
 // A copy is worth less than the room for the next prompts.
-constexpr double copyHeadroom = 0.8;
+constexpr double copyMemoryThreshold = 0.8;
 constexpr double copyMemoryCostMs = 6000;
 // Doubtful targets come after all sound ones, and suspects after those.
 constexpr double suspectCostMs = 100000;
@@ -32,15 +32,15 @@
 // generation on a busy target.
 constexpr absl::Duration memoryTurnover = absl::Seconds(8);
 // Weight of the latest request in a target's share of failures.
-constexpr double failureGain = 0.15;
+constexpr double failureRateSmoothing = 0.15;
 // Cost of a target all of whose recent requests failed. Below it, the cost grows with the square of the
 // share, so that a rare fault does not drive the load away.
 constexpr double failureCostMs = 8000;
 // Routers that choose at the same moment, before they hear of each other, must not all take the same best
 // target: any within this margin is as good. Source: a quarter of the time that a mean prompt is read in; for
 // plain requests a part of their work time.
-constexpr double modelMarginMs = 250;
-constexpr double plainMarginMs = 4;
+constexpr double modelTieMarginMs = 250;
+constexpr double plainTieMarginMs = 4;
 // Plain requests prefer the own domain by one round trip to another domain.
 constexpr double otherDomainCostMs = 2;
 
@@ -53,9 +53,9 @@
         return "unreachable";
     case TargetFault::ConnectionLost:
         return "connection_lost";
-    case TargetFault::Silent:
+    case TargetFault::Unresponsive:
         return "silent";
-    case TargetFault::BadAnswer:
+    case TargetFault::InvalidResponse:
         return "bad_answer";
     case TargetFault::Gone:
         return "gone";
@@ -63,9 +63,9 @@
     return "unknown";
 }
 
-std::optional<TargetId> TargetPool::upsert(const TargetRecord &record)
+std::optional<TargetId> TargetPool::upsert(const ForwardingTarget &record)
 {
-    std::optional<TargetId> former;
+    std::optional<TargetId> replaced;
     for (auto &[id, other] : m_targets) {
         if (id == record.id || other.isGone || other.record.address != record.address)
             continue;
@@ -73,17 +73,17 @@
         if (other.record.startedAtMs > record.startedAtMs)
             continue;
         other.isGone = true;
-        former = id;
+        replaced = id;
     }
     auto &target = m_targets[record.id];
     if (target.record.startedAtMs != record.startedAtMs || target.record.address != record.address) {
-        const auto own = target.own;
+        const auto ownLoad = target.ownLoad;
         target = Target{};
         // Requests that were sent to the process before are subtracted when they end.
-        target.own = own;
+        target.ownLoad = ownLoad;
     }
     target.record = record;
-    return former;
+    return replaced;
 }
 
 void TargetPool::remove(const TargetId &id)
@@ -91,7 +91,7 @@
     m_targets.erase(id);
 }
 
-const TargetRecord *TargetPool::find(const TargetId &id) const
+const ForwardingTarget *TargetPool::find(const TargetId &id) const
 {
     const auto it = m_targets.find(id);
     return it == m_targets.end() ? nullptr : &it->second.record;
@@ -100,77 +100,77 @@
 void TargetPool::addLoad(const TargetId &id, const TargetLoad &load)
 {
     if (auto it = m_targets.find(id); it != m_targets.end())
-        it->second.own += load;
+        it->second.ownLoad += load;
 }
 
 void TargetPool::subtractLoad(const TargetId &id, const TargetLoad &load)
 {
     if (auto it = m_targets.find(id); it != m_targets.end())
-        it->second.own -= load;
+        it->second.ownLoad -= load;
 }
 
 TargetLoads TargetPool::ownLoads() const
 {
     TargetLoads out;
     for (const auto &[id, target] : m_targets) {
-        if (target.own != TargetLoad{})
-            out.emplace(id, target.own);
+        if (target.ownLoad != TargetLoad{})
+            out.emplace(id, target.ownLoad);
     }
     return out;
 }
 
-void TargetPool::noteFault(const TargetId &id, TargetFault fault, absl::Time now)
+void TargetPool::recordFault(const TargetId &id, TargetFault fault, absl::Time now)
 {
     auto it = m_targets.find(id);
     if (it == m_targets.end())
         return;
     auto &target = it->second;
-    target.failureShare += detail::failureGain * (1 - target.failureShare);
-    if (fault == TargetFault::BadAnswer)
+    target.failureRate += detail::failureRateSmoothing * (1 - target.failureRate);
+    if (fault == TargetFault::InvalidResponse)
         return;
     if (fault == TargetFault::Gone) {
         target.isGone = true;
         return;
     }
-    const auto length = firstSuspicion * (1 << std::min(target.faultsInARow, 3));
+    const auto suspicion = initialSuspicion * (1 << std::min(target.consecutiveFaults, 3));
     if (now >= target.suspectUntil)
-        ++target.faultsInARow;
-    target.suspectUntil = std::max(target.suspectUntil, now + std::min(length, longestSuspicion));
+        ++target.consecutiveFaults;
+    target.suspectUntil = std::max(target.suspectUntil, now + std::min(suspicion, maxSuspicion));
 }
 
-void TargetPool::noteSuccess(const TargetId &id)
+void TargetPool::recordSuccess(const TargetId &id)
 {
     auto it = m_targets.find(id);
     if (it == m_targets.end())
         return;
-    it->second.faultsInARow = 0;
+    it->second.consecutiveFaults = 0;
     it->second.suspectUntil = absl::InfinitePast();
-    it->second.failureShare *= 1 - detail::failureGain;
+    it->second.failureRate *= 1 - detail::failureRateSmoothing;
 }
 
-void TargetPool::noteReachable(const TargetId &id)
+void TargetPool::markReachable(const TargetId &id)
 {
     if (auto it = m_targets.find(id); it != m_targets.end())
         it->second.suspectUntil = absl::InfinitePast();
 }
 
-void TargetPool::noteReportedFault(const TargetId &id, absl::Time now)
+void TargetPool::recordPeerFault(const TargetId &id, absl::Time now)
 {
     if (auto it = m_targets.find(id); it != m_targets.end())
-        it->second.suspectUntil = std::max(it->second.suspectUntil, now + reportedSuspicion);
+        it->second.suspectUntil = std::max(it->second.suspectUntil, now + peerSuspicion);
 }
 
-void TargetPool::noteGone(const TargetId &id)
+void TargetPool::markGone(const TargetId &id)
 {
     if (auto it = m_targets.find(id); it != m_targets.end())
         it->second.isGone = true;
 }
 
-bool TargetPool::isSound(const TargetId &id, absl::Time now) const
+bool TargetPool::isHealthy(const TargetId &id, absl::Time now) const
 {
     const auto it = m_targets.find(id);
-    return it != m_targets.end() && it->second.record.phase == TargetPhase::Ready && !it->second.isGone
-        && now >= it->second.suspectUntil;
+    return it != m_targets.end() && it->second.record.phase == ForwardingTargetPhase::Ready
+        && !it->second.isGone && now >= it->second.suspectUntil;
 }
 
 bool TargetPool::isSuspect(const TargetId &id, absl::Time now) const
@@ -179,51 +179,51 @@
     return it != m_targets.end() && now < it->second.suspectUntil;
 }
 
-void TargetPool::setReportedLoads(const RouterId &router, TargetLoads loads, absl::Time now)
+void TargetPool::setPeerLoads(const RouterId &router, TargetLoads loads, absl::Time now)
 {
-    auto &reporter = m_reporters[router];
-    for (const auto &[id, load] : reporter.loads)
-        m_reported[id] -= load;
+    auto &peer = m_peers[router];
+    for (const auto &[id, load] : peer.loads)
+        m_peerLoadSums[id] -= load;
     for (const auto &[id, load] : loads)
-        m_reported[id] += load;
+        m_peerLoadSums[id] += load;
     // Entries of zero are left out, so that targets that are long gone take no memory.
-    for (const auto &[id, load] : reporter.loads) {
-        if (const auto it = m_reported.find(id); it != m_reported.end() && it->second == TargetLoad{})
-            m_reported.erase(it);
+    for (const auto &[id, load] : peer.loads) {
+        if (const auto it = m_peerLoadSums.find(id); it != m_peerLoadSums.end() && it->second == TargetLoad{})
+            m_peerLoadSums.erase(it);
     }
-    reporter = Reporter{std::move(loads), now};
-    m_nextSilence = std::min(m_nextSilence, now + reportLifetime);
+    peer = PeerLoads{std::move(loads), now};
+    m_nextPeerExpiry = std::min(m_nextPeerExpiry, now + reportLifetime);
 }
 
-void TargetPool::dropSilentReporters(absl::Time now)
+void TargetPool::expirePeerLoads(absl::Time now)
 {
-    if (now <= m_nextSilence)
+    if (now <= m_nextPeerExpiry)
         return;
-    m_nextSilence = absl::InfiniteFuture();
-    std::vector<std::pair<RouterId, absl::Time>> silent;
-    for (const auto &[router, reporter] : m_reporters) {
-        if (now - reporter.heardAt > reportLifetime)
-            silent.emplace_back(router, reporter.heardAt);
+    m_nextPeerExpiry = absl::InfiniteFuture();
+    std::vector<std::pair<RouterId, absl::Time>> expired;
+    for (const auto &[router, peer] : m_peers) {
+        if (now - peer.lastReportAt > reportLifetime)
+            expired.emplace_back(router, peer.lastReportAt);
         else
-            m_nextSilence = std::min(m_nextSilence, reporter.heardAt + reportLifetime);
+            m_nextPeerExpiry = std::min(m_nextPeerExpiry, peer.lastReportAt + reportLifetime);
     }
-    for (const auto &[router, heardAt] : silent) {
-        setReportedLoads(router, {}, heardAt);
-        m_reporters.erase(router);
+    for (const auto &[router, lastReportAt] : expired) {
+        setPeerLoads(router, {}, lastReportAt);
+        m_peers.erase(router);
     }
 }
 
 TargetLoad TargetPool::loadOf(const Target &target) const
 {
-    auto load = target.own;
-    if (const auto it = m_reported.find(target.record.id); it != m_reported.end())
+    auto load = target.ownLoad;
+    if (const auto it = m_peerLoadSums.find(target.record.id); it != m_peerLoadSums.end())
         load += it->second;
     return load;
 }
 
 TargetLoad TargetPool::loadOf(const TargetId &id, absl::Time now)
 {
-    dropSilentReporters(now);
+    expirePeerLoads(now);
     const auto it = m_targets.find(id);
     return it == m_targets.end() ? TargetLoad{} : loadOf(it->second);
 }
@@ -236,109 +236,115 @@
         if (target.record.domain == domain && target.record.service == service && now < target.suspectUntil)
             ++suspects;
     }
-    return suspects >= domainSuspects;
+    return suspects >= domainSuspectThreshold;
 }
 
-double TargetPool::cost(const Target &target, const TargetNeed &need, absl::Time now) const
+double TargetPool::cost(const Target &target, const TargetRequirements &requirements, absl::Time now) const
 {
     const auto load = loadOf(target);
-    double cost = detail::failureCostMs * target.failureShare * target.failureShare;
+    double cost = detail::failureCostMs * target.failureRate * target.failureRate;
     if (now < target.suspectUntil)
         cost += detail::suspectCostMs;
-    if (!need.isModelService) {
-        cost += detail::plainRequestMs * load.requests / std::max(target.record.slots, 1);
+    if (!requirements.isModelService) {
+        cost += detail::plainRequestCostMs * load.requests / std::max(target.record.slots, 1);
         if (load.requests >= target.record.slots)
-            cost += detail::plainRequestMs * (load.requests - target.record.slots + 1);
+            cost += detail::plainRequestCostMs * (load.requests - target.record.slots + 1);
         if (target.record.domain != m_ownDomain)
             cost += detail::otherDomainCostMs;
         return cost;
     }
-    cost += static_cast<double>(load.unreadTokens) / DispatchRule::prefillTokensPerMs;
-    cost += detail::runningCostMs * load.requests;
-    const double used = memoryShare(load, need);
-    cost += (need.isCopy ? detail::copyMemoryCostMs : detail::memoryCostMs) * used;
-    if (used > detail::memoryHeadroom)
-        cost += detail::noRoomCostMs + detail::noRoomSlopeMs * (used - detail::memoryHeadroom);
+    cost += static_cast<double>(load.pendingPrefillTokens) / DeadlineAdmission::prefillTokensPerMs;
+    cost += detail::runningRequestCostMs * load.requests;
+    const double utilization = memoryUtilization(load, requirements);
+    cost += (requirements.isCopy ? detail::copyMemoryCostMs : detail::memoryCostMs) * utilization;
+    if (utilization > detail::memoryFullThreshold)
+        cost += detail::memoryFullCostMs
+            + detail::memoryFullSlopeMs * (utilization - detail::memoryFullThreshold);
     return cost;
 }
 
-double TargetPool::memoryShare(const TargetLoad &load, const TargetNeed &need)
+double TargetPool::memoryUtilization(const TargetLoad &load, const TargetRequirements &requirements)
 {
-    if (need.engine.memoryTokens <= 0)
+    if (requirements.engine.memoryTokens <= 0)
         return 0;
-    return static_cast<double>(load.memoryTokens + need.size.memoryTokens())
-        / static_cast<double>(need.engine.memoryTokens);
+    return static_cast<double>(load.memoryTokens + requirements.size.memoryTokens())
+        / static_cast<double>(requirements.engine.memoryTokens);
 }
 
-std::optional<TargetId> TargetPool::choose(const TargetNeed &need, absl::Time now)
+std::optional<TargetId> TargetPool::choose(const TargetRequirements &requirements, absl::Time now)
 {
-    dropSilentReporters(now);
-    absl::flat_hash_map<FailureDomain, bool> doubtful;
+    expirePeerLoads(now);
+    absl::flat_hash_map<FailureDomain, bool> suspectDomains;
     std::vector<std::pair<double, const TargetId *>> candidates;
     double bestCost = std::numeric_limits<double>::infinity();
     for (const auto &[id, target] : m_targets) {
-        if (target.record.service != need.service || target.record.phase != TargetPhase::Ready
-            || target.isGone)
+        if (target.record.service != requirements.service
+            || target.record.phase != ForwardingTargetPhase::Ready || target.isGone)
             continue;
-        if (std::find(need.exclude.begin(), need.exclude.end(), id) != need.exclude.end())
+        if (std::find(requirements.exclude.begin(), requirements.exclude.end(), id)
+            != requirements.exclude.end())
             continue;
-        double candidate = cost(target, need, now);
+        double candidate = cost(target, requirements, now);
         const auto &domain = target.record.domain;
-        auto [known, isNew] = doubtful.try_emplace(domain, false);
+        auto [domainEntry, isNew] = suspectDomains.try_emplace(domain, false);
         if (isNew)
-            known->second = need.isModelService && isDomainSuspect(domain, need.service, now);
-        if (known->second)
+            domainEntry->second =
+                requirements.isModelService && isDomainSuspect(domain, requirements.service, now);
+        if (domainEntry->second)
             candidate += detail::suspectDomainCostMs;
-        if (need.avoidDomain == domain)
+        if (requirements.avoidDomain == domain)
             candidate += detail::suspectDomainCostMs / 2;
         candidates.emplace_back(candidate, &id);
         bestCost = std::min(bestCost, candidate);
     }
-    const double margin = need.isModelService ? detail::modelMarginMs : detail::plainMarginMs;
+    const double margin = requirements.isModelService ? detail::modelTieMarginMs : detail::plainTieMarginMs;
     std::erase_if(candidates, [&](const auto &it) { return it.first > bestCost + margin; });
     if (candidates.empty())
         return std::nullopt;
     return *candidates[m_random.below(candidates.size())].second;
 }
 
-absl::Duration TargetPool::expectedWait(const Target &target, const TargetNeed &need) const
+absl::Duration TargetPool::expectedWait(const Target &target, const TargetRequirements &requirements) const
 {
     const auto load = loadOf(target);
-    const auto reading =
-        absl::Milliseconds(static_cast<double>(load.unreadTokens) / DispatchRule::prefillTokensPerMs);
-    const double excess = std::max(memoryShare(load, need) - 1, 0.0);
-    return reading + excess * detail::memoryTurnover;
+    const auto prefillDelay = absl::Milliseconds(static_cast<double>(load.pendingPrefillTokens)
+                                                 / DeadlineAdmission::prefillTokensPerMs);
+    const double excessUtilization = std::max(memoryUtilization(load, requirements) - 1, 0.0);
+    return prefillDelay + excessUtilization * detail::memoryTurnover;
 }
 
-absl::Duration TargetPool::expectedWait(const TargetId &id, const TargetNeed &need, absl::Time now)
+absl::Duration TargetPool::expectedWait(const TargetId &id, const TargetRequirements &requirements,
+                                        absl::Time now)
 {
-    dropSilentReporters(now);
+    expirePeerLoads(now);
     const auto it = m_targets.find(id);
-    return it == m_targets.end() ? absl::InfiniteDuration() : expectedWait(it->second, need);
+    return it == m_targets.end() ? absl::InfiniteDuration() : expectedWait(it->second, requirements);
 }
 
-absl::Duration TargetPool::backlog(const TargetNeed &need, absl::Time now)
+absl::Duration TargetPool::backlog(const TargetRequirements &requirements, absl::Time now)
 {
-    dropSilentReporters(now);
-    auto least = absl::InfiniteDuration();
+    expirePeerLoads(now);
+    auto shortest = absl::InfiniteDuration();
     for (const auto &[id, target] : m_targets) {
-        if (target.record.service != need.service || !isSound(id, now))
+        if (target.record.service != requirements.service || !isHealthy(id, now))
             continue;
-        least = std::min(least, expectedWait(target, need));
+        shortest = std::min(shortest, expectedWait(target, requirements));
     }
-    return least;
+    return shortest;
 }
 
-std::optional<TargetId> TargetPool::chooseCopyHolder(const TargetNeed &need, const TargetId &primary,
-                                                     absl::Time now)
+std::optional<TargetId> TargetPool::chooseCopyHolder(const TargetRequirements &requirements,
+                                                     const TargetId &primary, absl::Time now)
 {
-    TargetNeed copy = need;
+    TargetRequirements copy = requirements;
     copy.exclude.push_back(primary);
     copy.isCopy = true;
     if (const auto *record = find(primary))
         copy.avoidDomain = record->domain;
     auto holder = choose(copy, now);
-    if (holder && (!isSound(*holder, now) || memoryShare(loadOf(*holder, now), copy) > detail::copyHeadroom))
+    if (holder
+        && (!isHealthy(*holder, now)
+            || memoryUtilization(loadOf(*holder, now), copy) > detail::copyMemoryThreshold))
         return std::nullopt;
     return holder;
 }
--- a/Libraries/LibForwarding/TrafficConfiguration.h
+++ b/Libraries/LibForwarding/TrafficConfiguration.h
@@ -19,19 +19,19 @@
     // A plain request that may run any number of times.
     Idempotent,
     // A request that runs at most once.
-    Once,
+    AtMostOnce,
     // A stream of events that another target may continue after the last delivered event.
     ResumableStream,
     // A stream that runs at most once.
-    SingleRunStream,
+    AtMostOnceStream,
 };
 
 [[nodiscard]] inline bool isStream(RouteKind kind)
 {
-    return kind == RouteKind::ResumableStream || kind == RouteKind::SingleRunStream;
+    return kind == RouteKind::ResumableStream || kind == RouteKind::AtMostOnceStream;
 }
 
-[[nodiscard]] inline bool mayRepeat(RouteKind kind)
+[[nodiscard]] inline bool isRetryable(RouteKind kind)
 {
     return kind == RouteKind::Idempotent || kind == RouteKind::ResumableStream;
 }
@@ -49,13 +49,13 @@
     std::string host;
     // Begins and ends with a slash.
     std::string pathPrefix;
-    RouteKind kind{RouteKind::Once};
+    RouteKind kind{RouteKind::AtMostOnce};
     // The longest time that a caller is kept waiting for the complete answer.
     absl::Duration timeout{absl::Seconds(30)};
     // The latency within which an answer is on time; for streams up to the first event.
     absl::Duration latencyObjective{absl::Seconds(1)};
     // The longest pause between two events of a stream that is still on time.
-    absl::Duration longestGap{absl::Seconds(1)};
+    absl::Duration maxEventGap{absl::Seconds(1)};
     // Zero is the most urgent.
     int priority{0};
     // Targets on which one request may run.
@@ -66,12 +66,12 @@
 };
 
 // What a model engine of a service can do.
-struct EngineTraits
+struct EngineCapabilities
 {
     std::int64_t memoryTokens{0};
     int slots{0};
     // The engine can send a copy of a running generation's memory to another engine.
-    bool hasBackups{false};
+    bool supportsCopies{false};
 };
 
 struct ForwardedService
@@ -80,7 +80,7 @@
     // Connections that one target accepts from all routers together.
     int maxConnections{100};
     bool isModelService{false};
-    EngineTraits engine;
+    EngineCapabilities engine;
 };
 
 struct CallerLimits
--- a/Libraries/LibGateway/Directory.cpp
+++ b/Libraries/LibGateway/Directory.cpp
@@ -18,14 +18,14 @@
 constexpr absl::Duration watchWait = absl::Milliseconds(2500);
 constexpr double leastWatchShare = 0.4;
 
-ObjectStamp stampOf(const DirectoryObject &object)
+ObjectMetadata stampOf(const DirectoryObject &object)
 {
     return {object.name, object.revision, object.isRemoved};
 }
 
-std::vector<ObjectStamp> stampsOf(const std::vector<DirectoryObject> &objects)
+std::vector<ObjectMetadata> stampsOf(const std::vector<DirectoryObject> &objects)
 {
-    std::vector<ObjectStamp> out;
+    std::vector<ObjectMetadata> out;
     out.reserve(objects.size());
     for (const auto &it : objects)
         out.push_back(stampOf(it));
@@ -65,10 +65,10 @@
 {
     m_isWatching = isWatching;
     if (m_isWatching && std::exchange(m_callWaits, false))
-        perform(FollowerActions::CallWatch{m_follower.revision()});
+        perform(DirectorySyncActions::StartWatch{m_follower.revision()});
 }
 
-void DirectoryView::handle(const FollowerEvent &event)
+void DirectoryView::handle(const DirectorySyncEvent &event)
 {
     const bool hadView = m_follower.hasView();
     for (const auto &it : m_follower.handle(event, monotonicNow()))
@@ -87,46 +87,47 @@
     }
 }
 
-void DirectoryView::perform(const FollowerAction &action)
+void DirectoryView::perform(const DirectorySyncAction &action)
 {
-    if (std::holds_alternative<FollowerActions::CallList>(action)) {
+    if (std::holds_alternative<DirectorySyncActions::StartList>(action)) {
         m_store.list(m_kind, [this](ErrorOr<DirectoryBatch> result) {
             if (!result) {
-                handle(FollowerEvents::CallFailed{});
+                handle(DirectorySyncEvents::CallFailed{});
                 return;
             }
             stage(result->objects);
-            handle(FollowerEvents::Listed{detail::stampsOf(result->objects), result->revision});
+            handle(DirectorySyncEvents::ListCompleted{detail::stampsOf(result->objects), result->revision});
         });
-    } else if (const auto *watch = std::get_if<FollowerActions::CallWatch>(&action)) {
+    } else if (const auto *watch = std::get_if<DirectorySyncActions::StartWatch>(&action)) {
         if (!m_isWatching) {
             m_callWaits = true;
             return;
         }
         const double share = detail::leastWatchShare + (1 - detail::leastWatchShare) * m_random.fraction();
-        m_store.watch(
-            m_kind, watch->after, share * detail::watchWait, [this](ErrorOr<DirectoryBatch> result) {
-                if (!result && result.error().code == ErrorCode::Conflict) {
-                    handle(FollowerEvents::HistoryLost{});
-                } else if (!result) {
-                    handle(FollowerEvents::CallFailed{});
-                } else {
-                    stage(result->objects);
-                    handle(FollowerEvents::Watched{detail::stampsOf(result->objects), result->revision});
-                }
-            });
-    } else if (const auto *it = std::get_if<FollowerActions::Apply>(&action)) {
+        m_store.watch(m_kind, watch->after, share * detail::watchWait,
+                      [this](ErrorOr<DirectoryBatch> result) {
+                          if (!result && result.error().code == ErrorCode::Conflict) {
+                              handle(DirectorySyncEvents::RevisionExpired{});
+                          } else if (!result) {
+                              handle(DirectorySyncEvents::CallFailed{});
+                          } else {
+                              stage(result->objects);
+                              handle(DirectorySyncEvents::WatchCompleted{detail::stampsOf(result->objects),
+                                                                         result->revision});
+                          }
+                      });
+    } else if (const auto *it = std::get_if<DirectorySyncActions::Apply>(&action)) {
         apply(it->name);
-    } else if (const auto *it = std::get_if<FollowerActions::Remove>(&action)) {
+    } else if (const auto *it = std::get_if<DirectorySyncActions::Remove>(&action)) {
         removed(it->name);
-    } else if (const auto *it = std::get_if<FollowerActions::SetTimer>(&action)) {
+    } else if (const auto *it = std::get_if<DirectorySyncActions::SetTimer>(&action)) {
         m_timer.expires_after(
             absl::ToChronoNanoseconds(std::max(it->at - monotonicNow(), absl::ZeroDuration())));
         m_timer.async_wait([this](const auto &ec) {
             if (!ec)
-                handle(FollowerEvents::Tick{});
+                handle(DirectorySyncEvents::Tick{});
         });
-    } else if (const auto *it = std::get_if<FollowerActions::StoreRegained>(&action)) {
+    } else if (const auto *it = std::get_if<DirectorySyncActions::StoreRecovered>(&action)) {
         m_log.write("store_regained",
                     {{"kind", kindLabel()},
                      {"outage_ms", absl::ToInt64Milliseconds(it->outage)},
@@ -241,7 +242,8 @@
                            it["content"], false});
     }
     stage(objects);
-    handle(FollowerEvents::Relayed{detail::stampsOf(objects), revision, json["complete"].get<bool>()});
+    handle(DirectorySyncEvents::RelayReceived{detail::stampsOf(objects), revision,
+                                              json["complete"].get<bool>()});
     return {};
 }
 
--- a/Libraries/LibGateway/Directory.h
+++ b/Libraries/LibGateway/Directory.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibForwarding/DirectoryFollower.h>
+#include <LibForwarding/DirectorySynchronizer.h>
 #include <LibForwarding/RouteTable.h>
 #include <LibGateway/DirectoryStore.h>
 #include <LibGateway/GatewayParts.h>
@@ -24,7 +24,7 @@
 public:
     virtual ~DirectoryListener() = default;
     virtual void configurationChanged(std::shared_ptr<const RouteTable>) = 0;
-    virtual void targetChanged(const TargetRecord &) = 0;
+    virtual void targetChanged(const ForwardingTarget &) = 0;
     virtual void targetRemoved(const TargetId &) = 0;
     virtual void routerChanged(const RouterRecord &) = 0;
 };
@@ -47,7 +47,7 @@
     [[nodiscard]] bool hasView() const { return m_follower.hasView(); }
     [[nodiscard]] bool isStoreLost() const { return m_follower.isStoreLost(); }
     [[nodiscard]] bool isTrusted(absl::Time now) const { return m_follower.isTrusted(now); }
-    void setOthersTrusted(bool othersTrusted) { m_follower.setOthersTrusted(othersTrusted); }
+    void setStoreTrustedByOthers(bool othersTrusted) { m_follower.setStoreTrustedByOthers(othersTrusted); }
 
     // What changed after the revision, for another router; the whole view where the log of changes does not
     // reach back so far.
@@ -56,8 +56,8 @@
     [[nodiscard]] ErrorOr<void> takeRelayed(const nlohmann::json &);
 
 private:
-    void handle(const FollowerEvent &);
-    void perform(const FollowerAction &);
+    void handle(const DirectorySyncEvent &);
+    void perform(const DirectorySyncAction &);
     void stage(const std::vector<DirectoryObject> &);
     void apply(const std::string &name);
     void removed(const std::string &name);
@@ -70,7 +70,7 @@
     DirectoryListener &m_listener;
     StructuredLog &m_log;
     RandomSource &m_random;
-    DirectoryFollower m_follower;
+    DirectorySynchronizer m_follower;
     boost::asio::steady_timer m_timer;
     // Content of applied objects, and of those that wait to be applied.
     std::map<std::string, DirectoryObject> m_objects;
--- a/Libraries/LibGateway/DirectoryStore.h
+++ b/Libraries/LibGateway/DirectoryStore.h
@@ -68,7 +68,7 @@
 public:
     virtual ~DirectoryDecoder() = default;
     [[nodiscard]] virtual ErrorOr<TrafficConfiguration> configuration(const DirectoryObject &) const = 0;
-    [[nodiscard]] virtual ErrorOr<TargetRecord> target(const DirectoryObject &) const = 0;
+    [[nodiscard]] virtual ErrorOr<ForwardingTarget> target(const DirectoryObject &) const = 0;
     [[nodiscard]] virtual ErrorOr<RouterRecord> router(const DirectoryObject &) const = 0;
 };
 
--- a/Libraries/LibGateway/ForwardSession.cpp
+++ b/Libraries/LibGateway/ForwardSession.cpp
@@ -3,7 +3,7 @@
 #include <LibGateway/ForwardSession.h>
 
 #include <LibCore/Views.h>
-#include <LibForwarding/DispatchRule.h>
+#include <LibForwarding/DeadlineAdmission.h>
 #include <LibPlatform/MonotonicClock.h>
 
 #include <boost/asio/post.hpp>
@@ -27,28 +27,28 @@
     switch (kind) {
     case RouteKind::Idempotent:
         return "idempotent";
-    case RouteKind::Once:
+    case RouteKind::AtMostOnce:
         return "once";
     case RouteKind::ResumableStream:
         return "resumable_stream";
-    case RouteKind::SingleRunStream:
+    case RouteKind::AtMostOnceStream:
         return "single_run_stream";
     }
     return "unknown";
 }
 
-ForwardingTerms termsOf(const RoutedRequest &routed)
+ForwardingParameters termsOf(const RoutedRequest &routed)
 {
-    ForwardingTerms terms;
+    ForwardingParameters terms;
     terms.kind = routed.route->kind;
     terms.maxAttempts = routed.route->maxAttempts;
     terms.routeTimeout = routed.route->timeout;
-    terms.patience = routed.request.patience.value_or(routed.route->timeout);
+    terms.callerTimeout = routed.request.callerTimeout.value_or(routed.route->timeout);
     terms.latencyObjective = routed.route->latencyObjective;
-    terms.longestGap = routed.route->longestGap;
+    terms.maxEventGap = routed.route->maxEventGap;
     terms.size = routed.request.size;
     terms.lastEvent = routed.request.lastEvent;
-    terms.usesCopies = terms.kind == RouteKind::ResumableStream && routed.service->engine.hasBackups;
+    terms.usesCopies = terms.kind == RouteKind::ResumableStream && routed.service->engine.supportsCopies;
     return terms;
 }
 
@@ -61,7 +61,7 @@
 }
 
 ForwardSession::ForwardSession(GatewayParts &parts, std::shared_ptr<HttpServerConnection> caller,
-                               RoutedRequest routed, RepeatGate &gate, absl::Time now)
+                               RoutedRequest routed, RetryGate &gate, absl::Time now)
     : m_parts(parts), m_caller(std::move(caller)), m_routed(std::move(routed)),
       m_decisions(detail::termsOf(m_routed), gate, now), m_timer(parts.context), m_arrivedAt(now),
       m_copyTimer(parts.context)
@@ -78,7 +78,7 @@
 void ForwardSession::start()
 {
     m_caller->setCallerLeftHandler([self = shared_from_this()] {
-        self->handle(Events::CallerLeft{});
+        self->handle(ForwardingEvents::CallerDisconnected{});
         self->finish("caller_left", 0);
     });
     perform(m_decisions.begin(m_arrivedAt));
@@ -86,13 +86,13 @@
 
 void ForwardSession::stopNow()
 {
-    handle(Events::StopNow{});
+    handle(ForwardingEvents::ShutdownRequested{});
 }
 
 void ForwardSession::targetFailed(const TargetId &id, TargetFault fault)
 {
     if (fault != TargetFault::ConnectionLost)
-        handleCopy(CopyEvents::TargetLost{id});
+        handleCopy(KvCopyEvents::TargetLost{id});
     if (m_target != id || !m_attempt)
         return;
     if (fault == TargetFault::Gone) {
@@ -101,11 +101,11 @@
         attemptLost(fault);
         return;
     }
-    if (!mayRepeat(m_routed.route->kind))
+    if (!isRetryable(m_routed.route->kind))
         return;
     const auto probe = [self = shared_from_this(), attempt = m_attempt.get()] {
         if (self->m_attempt.get() == attempt)
-            self->perform(Actions::ProbeTarget{});
+            self->perform(ForwardingActions::ProbeTarget{});
     };
     boost::asio::post(m_parts.context, probe);
 }
@@ -115,15 +115,15 @@
     perform(m_decisions.handle(event, monotonicNow()));
 }
 
-void ForwardSession::perform(const ForwardingActions &actions)
+void ForwardSession::perform(const ForwardingActionList &actions)
 {
     for (const auto &it : actions)
         std::visit([this](const auto &action) { perform(action); }, it);
 }
 
-TargetNeed ForwardSession::need() const
+TargetRequirements ForwardSession::need() const
 {
-    TargetNeed need;
+    TargetRequirements need;
     need.service = m_routed.service->name;
     need.isModelService = m_routed.service->isModelService;
     need.engine = m_routed.service->engine;
@@ -132,27 +132,27 @@
     return need;
 }
 
-void ForwardSession::perform(const Actions::StartAttempt &action)
+void ForwardSession::perform(const ForwardingActions::StartAttempt &action)
 {
     const auto source = action.fromCopy ? usableCopy() : std::nullopt;
     const auto holder = m_copies.copy();
     releaseLoad();
     if (!source && !canEnd(action)) {
-        handle(Events::NoTimeLeft{});
+        handle(ForwardingEvents::NoTimeLeft{});
         return;
     }
     const auto target =
         source ? std::optional(holder->holder) : m_parts.targets.choose(need(), monotonicNow());
     const auto *record = target ? m_parts.targets.find(*target) : nullptr;
     if (!record) {
-        handle(Events::NoTarget{});
+        handle(ForwardingEvents::NoTarget{});
         return;
     }
     m_tried.push_back(*target);
     sendTo(*record, action, source);
 }
 
-bool ForwardSession::canEnd(const Actions::StartAttempt &action)
+bool ForwardSession::canEnd(const ForwardingActions::StartAttempt &action)
 {
     // What the caller holds already says that the answer is shorter than its guess.
     if (!m_routed.service->isModelService || m_decisions.lastEvent())
@@ -161,7 +161,7 @@
     // Without a sound target, the choice falls on a doubtful one, or there is none.
     if (backlog == absl::InfiniteDuration())
         return true;
-    const bool canEnd = DispatchRule::canEnd(
+    const bool canEnd = DeadlineAdmission::canFinishInTime(
         {.size = m_routed.request.size, .backlog = backlog, .timeLeft = action.timeLeft});
     if (!canEnd) {
         log("no_time_left",
@@ -174,18 +174,18 @@
     return canEnd;
 }
 
-void ForwardSession::sendTo(const TargetRecord &record, const Actions::StartAttempt &action,
+void ForwardSession::sendTo(const ForwardingTarget &record, const ForwardingActions::StartAttempt &action,
                             const std::optional<CopySource> &source)
 {
     const auto now = monotonicNow();
     const auto load = m_parts.targets.loadOf(record.id, now);
     const auto wait = m_parts.targets.expectedWait(record.id, need(), now);
-    handle(Events::AttemptPlaced{wait + DispatchRule::readingTime(m_routed.request.size)});
+    handle(ForwardingEvents::AttemptSent{wait + DeadlineAdmission::prefillTime(m_routed.request.size)});
     m_target = record.id;
     m_targetAddress = record.address;
     m_isFromCopy = source.has_value();
     placeLoad(record.id, m_isFromCopy);
-    handleCopy(CopyEvents::AttemptBegan{m_copyHolder});
+    handleCopy(KvCopyEvents::AttemptStarted{m_copyHolder});
     TargetOrder order;
     order.target = record.id;
     order.timeLeft = action.timeLeft;
@@ -214,7 +214,7 @@
          {"copy_holder", m_copyHolder ? m_copyHolder->value() : ""},
          {"last_event", action.lastEvent ? action.lastEvent->value() : 0},
          {"load_requests", load.requests},
-         {"load_unread", load.unreadTokens},
+         {"load_unread", load.pendingPrefillTokens},
          {"load_memory", load.memoryTokens},
          {"time_left_ms", absl::ToInt64Milliseconds(action.timeLeft)}});
     auto connection = m_parts.connections.take(record, now);
@@ -235,21 +235,22 @@
 {
     const auto &size = m_routed.request.size;
     m_load = {.requests = 1,
-              .unreadTokens = fromCopy ? static_cast<std::int64_t>(detail::unreadShareOfCopy
-                                                                   * static_cast<double>(size.promptTokens))
-                                       : size.promptTokens,
+              .pendingPrefillTokens = fromCopy ? static_cast<std::int64_t>(
+                                          detail::unreadShareOfCopy * static_cast<double>(size.promptTokens))
+                                               : size.promptTokens,
               .memoryTokens = size.memoryTokens()};
     m_parts.targets.addLoad(target, m_load);
-    if (m_routed.route->kind == RouteKind::ResumableStream && m_routed.service->engine.hasBackups)
+    if (m_routed.route->kind == RouteKind::ResumableStream && m_routed.service->engine.supportsCopies)
         placeCopyLoad(m_parts.targets.chooseCopyHolder(need(), target, monotonicNow()));
     m_parts.loadChanged();
 }
 
 void ForwardSession::markRead()
 {
-    if (m_load.unreadTokens == 0 || !m_target)
+    if (m_load.pendingPrefillTokens == 0 || !m_target)
         return;
-    m_parts.targets.subtractLoad(*m_target, {.unreadTokens = std::exchange(m_load.unreadTokens, 0)});
+    m_parts.targets.subtractLoad(*m_target,
+                                 {.pendingPrefillTokens = std::exchange(m_load.pendingPrefillTokens, 0)});
     m_parts.loadChanged();
 }
 
@@ -268,7 +269,7 @@
     if (!m_target)
         return;
     const auto target = *m_target;
-    m_parts.targets.noteFault(target, fault, monotonicNow());
+    m_parts.targets.recordFault(target, fault, monotonicNow());
     m_parts.metrics.count("target_faults_total",
                           absl::StrCat("fault=\"", abslView(targetFaultName(fault)), "\""));
     log("target_fault", {{"target", target.value()}, {"fault", targetFaultName(fault)}});
@@ -289,7 +290,8 @@
         // The target is sound; it may read the prompt anew.
         std::erase(m_tried, *m_target);
     }
-    handle(Events::AttemptNotRun{.fault = fault, .wasRefused = wasRefused, .isCopyMissing = isCopyMissing});
+    handle(ForwardingEvents::AttemptNotExecuted{
+        .fault = fault, .wasRefused = wasRefused, .isCopyMissing = isCopyMissing});
 }
 
 void ForwardSession::streamOpened(const HttpResponseHead &head)
@@ -299,15 +301,15 @@
         m_answer.head = head;
         removeConnectionFields(m_answer.head.fields);
     }
-    handle(Events::StreamOpened{});
+    handle(ForwardingEvents::StreamOpened{});
 }
 
 void ForwardSession::eventsArrived(const std::vector<RawEvent> &events)
 {
     markRead();
     if (m_target)
-        m_parts.targets.noteSuccess(*m_target);
-    if (m_lostAt && m_decisions.isAnswering()) {
+        m_parts.targets.recordSuccess(*m_target);
+    if (m_lostAt && m_decisions.hasResponseStarted()) {
         m_parts.metrics.observe("resume_seconds", "", monotonicNow() - *m_lostAt);
         log("resumed",
             {{"target", m_target ? m_target->value() : ""},
@@ -319,8 +321,8 @@
     if (m_lastEventAt)
         m_longestGap = std::max(m_longestGap, now - *m_lastEventAt);
     m_lastEventAt = now;
-    handle(Events::EventsArrived{*events.back().number});
-    handleCopy(CopyEvents::EventsBegan{});
+    handle(ForwardingEvents::EventsReceived{*events.back().number});
+    handleCopy(KvCopyEvents::FirstEventReceived{});
     std::string bytes;
     for (const auto &it : events)
         bytes += it.bytes;
@@ -329,32 +331,32 @@
 
 void ForwardSession::streamEnded()
 {
-    handle(Events::StreamEnded{});
+    handle(ForwardingEvents::StreamCompleted{});
 }
 
 void ForwardSession::answerArrived(HttpResponse response)
 {
     if (m_target) {
         if (response.head.status < 500)
-            m_parts.targets.noteSuccess(*m_target);
+            m_parts.targets.recordSuccess(*m_target);
         else
-            m_parts.targets.noteFault(*m_target, TargetFault::BadAnswer, monotonicNow());
+            m_parts.targets.recordFault(*m_target, TargetFault::InvalidResponse, monotonicNow());
     }
     const int status = response.head.status;
-    if (!m_decisions.isAnswering()) {
+    if (!m_decisions.hasResponseStarted()) {
         m_answer = std::move(response);
         removeConnectionFields(m_answer.head.fields);
     }
-    handle(Events::AnswerArrived{status});
+    handle(ForwardingEvents::ResponseReceived{status});
 }
 
 void ForwardSession::attemptLost(TargetFault fault)
 {
     noteFault(fault);
-    handle(Events::AttemptLost{fault});
+    handle(ForwardingEvents::AttemptLost{fault});
 }
 
-void ForwardSession::perform(const Actions::CancelAttempt &action)
+void ForwardSession::perform(const ForwardingActions::CancelAttempt &action)
 {
     if (m_attempt)
         m_attempt->cancel();
@@ -362,7 +364,7 @@
         noteFault(*action.fault);
 }
 
-void ForwardSession::perform(const Actions::OpenAnswer &)
+void ForwardSession::perform(const ForwardingActions::StartResponse &)
 {
     m_parts.metrics.observe("first_event_seconds", "", monotonicNow() - m_arrivedAt);
     log("answering",
@@ -371,19 +373,19 @@
     m_caller->openStream(m_answer.head);
 }
 
-void ForwardSession::perform(const Actions::CompleteStream &)
+void ForwardSession::perform(const ForwardingActions::CompleteStream &)
 {
     m_caller->endStream();
     finish("complete", m_answer.head.status);
 }
 
-void ForwardSession::perform(const Actions::DeliverAnswer &)
+void ForwardSession::perform(const ForwardingActions::SendResponse &)
 {
     m_caller->respond(m_answer);
     finish("complete", m_answer.head.status);
 }
 
-void ForwardSession::perform(const Actions::Refuse &action)
+void ForwardSession::perform(const ForwardingActions::Refuse &action)
 {
     auto response = makeResponse(action.status, "text/plain", "");
     if (action.retryAfter)
@@ -392,13 +394,13 @@
     finish(refusalReasonName(action.reason), action.status);
 }
 
-void ForwardSession::perform(const Actions::BreakOff &action)
+void ForwardSession::perform(const ForwardingActions::AbortResponse &action)
 {
     m_caller->abort();
     finish(refusalReasonName(action.reason), 0);
 }
 
-void ForwardSession::perform(const Actions::SetTimer &action)
+void ForwardSession::perform(const ForwardingActions::SetTimer &action)
 {
     if (m_decisions.isFinished())
         return;
@@ -406,11 +408,11 @@
         absl::ToChronoNanoseconds(std::max(action.at - monotonicNow(), absl::ZeroDuration())));
     m_timer.async_wait([self = shared_from_this()](const auto &ec) {
         if (!ec)
-            self->handle(Events::Tick{});
+            self->handle(ForwardingEvents::Tick{});
     });
 }
 
-void ForwardSession::perform(const Actions::ProbeTarget &)
+void ForwardSession::perform(const ForwardingActions::ProbeTarget &)
 {
     if (!m_target || !m_attempt)
         return;
@@ -433,7 +435,8 @@
                 return;
             }
             running->cancel();
-            session->attemptLost(result == ProbeResult::Refuses ? TargetFault::Gone : TargetFault::Silent);
+            session->attemptLost(result == ProbeResult::Refuses ? TargetFault::Gone
+                                                                : TargetFault::Unresponsive);
         });
     };
     (*probe)(1);
@@ -445,7 +448,7 @@
         return;
     m_timer.cancel();
     m_copyTimer.cancel();
-    handleCopy(CopyEvents::AttemptEnded{});
+    handleCopy(KvCopyEvents::AttemptEnded{});
     releaseLoad();
     m_attempt.reset();
     m_parts.metrics.count("requests_total",
--- a/Libraries/LibGateway/ForwardSession.h
+++ b/Libraries/LibGateway/ForwardSession.h
@@ -2,8 +2,8 @@
 
 #pragma once
 
-#include <LibForwarding/CopyKeeper.h>
 #include <LibForwarding/ForwardedRequest.h>
+#include <LibForwarding/KvCopyManager.h>
 #include <LibForwarding/RouteTable.h>
 #include <LibGateway/GatewayParts.h>
 #include <LibGateway/TargetAttempt.h>
@@ -37,7 +37,7 @@
 class ForwardSession final : public AttemptListener, public std::enable_shared_from_this<ForwardSession>
 {
 public:
-    ForwardSession(GatewayParts &, std::shared_ptr<HttpServerConnection>, RoutedRequest, RepeatGate &,
+    ForwardSession(GatewayParts &, std::shared_ptr<HttpServerConnection>, RoutedRequest, RetryGate &,
                    absl::Time now);
     ~ForwardSession() override;
 
@@ -57,27 +57,28 @@
 
 private:
     void handle(const ForwardingEvent &);
-    void perform(const ForwardingActions &);
-    void perform(const Actions::StartAttempt &);
-    void perform(const Actions::CancelAttempt &);
-    void perform(const Actions::OpenAnswer &);
-    void perform(const Actions::CompleteStream &);
-    void perform(const Actions::DeliverAnswer &);
-    void perform(const Actions::Refuse &);
-    void perform(const Actions::BreakOff &);
-    void perform(const Actions::SetTimer &);
-    void perform(const Actions::ProbeTarget &);
+    void perform(const ForwardingActionList &);
+    void perform(const ForwardingActions::StartAttempt &);
+    void perform(const ForwardingActions::CancelAttempt &);
+    void perform(const ForwardingActions::StartResponse &);
+    void perform(const ForwardingActions::CompleteStream &);
+    void perform(const ForwardingActions::SendResponse &);
+    void perform(const ForwardingActions::Refuse &);
+    void perform(const ForwardingActions::AbortResponse &);
+    void perform(const ForwardingActions::SetTimer &);
+    void perform(const ForwardingActions::ProbeTarget &);
 
-    [[nodiscard]] TargetNeed need() const;
+    [[nodiscard]] TargetRequirements need() const;
     // False when a prompt would be read for a caller who will have left by then.
-    [[nodiscard]] bool canEnd(const Actions::StartAttempt &);
+    [[nodiscard]] bool canEnd(const ForwardingActions::StartAttempt &);
     // The copy from which the next attempt can go on.
     [[nodiscard]] std::optional<CopySource> usableCopy() const;
-    void sendTo(const TargetRecord &, const Actions::StartAttempt &, const std::optional<CopySource> &);
-    void handleCopy(const CopyEvent &);
-    void perform(const CopyActions::MakeCopy &);
-    void perform(const CopyActions::DropCopy &);
-    void perform(const CopyActions::SetTimer &);
+    void sendTo(const ForwardingTarget &, const ForwardingActions::StartAttempt &,
+                const std::optional<CopySource> &);
+    void handleCopy(const KvCopyEvent &);
+    void perform(const KvCopyActions::CreateCopy &);
+    void perform(const KvCopyActions::DeleteCopy &);
+    void perform(const KvCopyActions::SetTimer &);
     void placeCopyLoad(const std::optional<TargetId> &holder);
     // Adds the request's load to its targets, or takes it back.
     void placeLoad(const TargetId &, bool fromCopy);
@@ -99,7 +100,7 @@
     // Its address, which names the copies that it made.
     std::string m_targetAddress;
     TargetLoad m_load;
-    CopyKeeper m_copies;
+    KvCopyManager m_copies;
     boost::asio::steady_timer m_copyTimer;
     // Target whose load counts the copy.
     std::optional<TargetId> m_copyHolder;
--- a/Libraries/LibGateway/ForwardSessionCopies.cpp
+++ b/Libraries/LibGateway/ForwardSessionCopies.cpp
@@ -31,7 +31,7 @@
 std::optional<CopySource> ForwardSession::usableCopy() const
 {
     const auto &copy = m_copies.copy();
-    if (!copy || !m_parts.targets.isSound(copy->holder, monotonicNow()))
+    if (!copy || !m_parts.targets.isHealthy(copy->holder, monotonicNow()))
         return std::nullopt;
     const auto *holder = m_parts.targets.find(copy->holder);
     return CopySource{copy->handle.empty() ? holder->address : m_targetAddress, copy->handle};
@@ -44,27 +44,28 @@
     m_copyHolder = holder;
     if (!m_copyHolder)
         return;
-    m_copyLoad = {.requests = 0, .unreadTokens = 0, .memoryTokens = m_routed.request.size.memoryTokens()};
+    m_copyLoad = {
+        .requests = 0, .pendingPrefillTokens = 0, .memoryTokens = m_routed.request.size.memoryTokens()};
     m_parts.targets.addLoad(*m_copyHolder, m_copyLoad);
 }
 
-void ForwardSession::handleCopy(const CopyEvent &event)
+void ForwardSession::handleCopy(const KvCopyEvent &event)
 {
     for (const auto &it : m_copies.handle(event, monotonicNow()))
         std::visit([this](const auto &action) { perform(action); }, it);
 }
 
-void ForwardSession::perform(const CopyActions::MakeCopy &action)
+void ForwardSession::perform(const KvCopyActions::CreateCopy &action)
 {
     const auto now = monotonicNow();
     auto holder = action.holder;
-    if (m_target && (!holder || !m_parts.targets.isSound(*holder, now)))
+    if (m_target && (!holder || !m_parts.targets.isHealthy(*holder, now)))
         holder = m_parts.targets.chooseCopyHolder(need(), *m_target, now);
     const auto *to = holder ? m_parts.targets.find(*holder) : nullptr;
     const auto *from = m_target ? m_parts.targets.find(*m_target) : nullptr;
     if (!to || !from) {
-        boost::asio::post(m_parts.context, [self = shared_from_this(), call = action.call] {
-            self->handleCopy(CopyEvents::CopyRefused{call});
+        boost::asio::post(m_parts.context, [self = shared_from_this(), call = action.callId] {
+            self->handleCopy(KvCopyEvents::CopyFailed{call});
         });
         return;
     }
@@ -72,7 +73,7 @@
     const auto call = m_parts.dialect.makeCopyCall(m_routed.request.id, to->address);
     m_parts.connections.call(
         *from, call, detail::copyTimeout,
-        [self = shared_from_this(), holder = *holder, number = action.call](const HttpCallResult &result) {
+        [self = shared_from_this(), holder = *holder, number = action.callId](const HttpCallResult &result) {
             if (self->m_decisions.isFinished())
                 return;
             const auto answer = result ? self->m_parts.dialect.readCopyAnswer(*result) : CopyAnswer{};
@@ -82,15 +83,15 @@
                        {"handle", answer.handle},
                        {"status", result ? result->head.status : 0}});
             if (answer.outcome == CopyOutcome::Made)
-                self->handleCopy(CopyEvents::CopyMade{number, holder, answer.handle});
+                self->handleCopy(KvCopyEvents::CopyCreated{number, holder, answer.handle});
             else if (answer.outcome == CopyOutcome::Impossible)
-                self->handleCopy(CopyEvents::CopyImpossible{number});
+                self->handleCopy(KvCopyEvents::CopyUnsupported{number});
             else
-                self->handleCopy(CopyEvents::CopyRefused{number});
+                self->handleCopy(KvCopyEvents::CopyFailed{number});
         });
 }
 
-void ForwardSession::perform(const CopyActions::DropCopy &action)
+void ForwardSession::perform(const KvCopyActions::DeleteCopy &action)
 {
     const auto *from = m_target ? m_parts.targets.find(*m_target) : nullptr;
     if (!from)
@@ -100,13 +101,13 @@
                              [](const HttpCallResult &) {});
 }
 
-void ForwardSession::perform(const CopyActions::SetTimer &action)
+void ForwardSession::perform(const KvCopyActions::SetTimer &action)
 {
     m_copyTimer.expires_after(
         absl::ToChronoNanoseconds(std::max(action.at - monotonicNow(), absl::ZeroDuration())));
     m_copyTimer.async_wait([weak = weak_from_this()](const auto &ec) {
         if (auto self = weak.lock(); self && !ec)
-            self->handleCopy(CopyEvents::Tick{});
+            self->handleCopy(KvCopyEvents::Tick{});
     });
 }
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -223,11 +223,11 @@
     if (!request)
         return refuse(caller, detail::statusBadRequest, request.error().detail, "");
     const auto id = request->id.value();
-    const auto patience = request->patience.value_or(detail::defaultPatience);
+    const auto patience = request->callerTimeout.value_or(detail::defaultPatience);
     if (!m_routes || !m_targetsView.hasView()) {
         // Targets whose entries lapsed with the store come back only some time after it.
         const auto lapsed =
-            m_targetsView.isStoreLost() ? DirectoryFollower::lapseGrace : absl::ZeroDuration();
+            m_targetsView.isStoreLost() ? DirectorySynchronizer::removalGracePeriod : absl::ZeroDuration();
         return refuse(caller, detail::statusUnavailable, "no_configuration", id,
                       retryAfter(patience, monotonicNow() - m_startedAt + lapsed));
     }
@@ -236,7 +236,7 @@
     routed.route = m_routes->findRoute(host, detail::requestPath(message));
     if (!routed.route)
         return refuse(caller, detail::statusNotFound, "no_route", id);
-    if (m_routes->needsKeys() && !routed.route->isAnonymous) {
+    if (m_routes->requiresApiKey() && !routed.route->isAnonymous) {
         routed.workspace = m_routes->findWorkspace(routed.request.apiKey);
         if (!routed.workspace)
             return refuse(caller, detail::statusUnauthorized, "unknown_key", id);
@@ -252,13 +252,13 @@
     routed.message = std::move(message);
     const auto now = monotonicNow();
     auto &budget = budgetOf(routed.service->name);
-    budget.noteRequest(now);
+    budget.recordRequest(now);
     auto session = std::make_shared<ForwardSession>(m_parts, caller, std::move(routed), budget, now);
     m_sessions.insert(session);
     session->start();
 }
 
-RepeatBudget &Gateway::budgetOf(const ServiceName &service)
+ServiceRetryBudget &Gateway::budgetOf(const ServiceName &service)
 {
     return m_budgets.try_emplace(service, m_settings.repeats).first->second;
 }
@@ -282,7 +282,7 @@
     m_peerLink->reportSoon();
 }
 
-void Gateway::targetChanged(const TargetRecord &record)
+void Gateway::targetChanged(const ForwardingTarget &record)
 {
     const auto *known = m_targets.find(record.id);
     if (!known || known->phase != record.phase || known->address != record.address
@@ -292,7 +292,7 @@
                      {"service", record.service.value()},
                      {"domain", record.domain.value()},
                      {"address", record.address},
-                     {"phase", record.phase == TargetPhase::Ready ? "ready" : "leaving"},
+                     {"phase", record.phase == ForwardingTargetPhase::Ready ? "ready" : "leaving"},
                      {"started_at_ms", record.startedAtMs}},
                     monotonicNow());
     }
@@ -324,7 +324,7 @@
 {
     PeerReport report;
     report.router = m_self;
-    report.router.phase = m_stopStarted ? RouterPhase::Leaving
+    report.router.phase = m_stopStarted ? RouterPhase::Draining
         : isReady()                     ? RouterPhase::Serving
                                         : RouterPhase::Starting;
     report.sequence = ++m_reports;
@@ -344,7 +344,7 @@
     if (report.router.id == m_self.id)
         return;
     const auto now = monotonicNow();
-    if (m_roster.noteReport(report.router, now)) {
+    if (m_roster.recordReport(report.router, now)) {
         m_log.write("router_found",
                     {{"router", report.router.id.value()},
                      {"incarnation", report.router.incarnation.value()},
@@ -352,13 +352,13 @@
                     now);
         m_peerLink->reportSoon();
     }
-    m_targets.setReportedLoads(report.router.id, report.loads, now);
+    m_targets.setPeerLoads(report.router.id, report.loads, now);
     for (const auto &it : report.faults) {
-        m_targets.noteReportedFault(it, now);
-        tellSessions(it, TargetFault::Silent);
+        m_targets.recordPeerFault(it, now);
+        tellSessions(it, TargetFault::Unresponsive);
     }
     for (const auto &it : report.gone) {
-        m_targets.noteGone(it);
+        m_targets.markGone(it);
         tellSessions(it, TargetFault::Gone);
     }
     takeCounts(report, now);
@@ -373,16 +373,16 @@
         last = {report.router.incarnation, report.counts};
     for (const auto &[service, counts] : report.counts) {
         auto &before = last.counts[service];
-        if (counts.requests >= before.requests && counts.repeats >= before.repeats)
-            budgetOf(service).noteOthers(counts.requests - before.requests, counts.repeats - before.repeats,
-                                         now);
+        if (counts.requests >= before.requests && counts.retries >= before.retries)
+            budgetOf(service).recordPeerCounts(counts.requests - before.requests,
+                                               counts.retries - before.retries, now);
         before = counts;
     }
 }
 
 void Gateway::targetFailed(const TargetId &id, TargetFault fault)
 {
-    if (fault == TargetFault::BadAnswer)
+    if (fault == TargetFault::InvalidResponse)
         return;
     (fault == TargetFault::Gone ? m_gone : m_faults).push_back(id);
     m_peerLink->reportSoon();
@@ -409,11 +409,11 @@
         m_verifying.erase(id);
         const auto now = monotonicNow();
         if (result == ProbeResult::Accepts) {
-            m_targets.noteReachable(id);
+            m_targets.markReachable(id);
             return;
         }
         const auto fault = result == ProbeResult::Refuses ? TargetFault::Gone : TargetFault::Unreachable;
-        m_targets.noteFault(id, fault, now);
+        m_targets.recordFault(id, fault, now);
         m_log.write("target_verified", {{"target", id.value()}, {"fault", targetFaultName(fault)}}, now);
         targetFailed(id, fault);
     });
@@ -421,7 +421,7 @@
 
 void Gateway::reconcile(absl::Time now)
 {
-    std::vector<RouterRoster::Member> candidates;
+    std::vector<RouterRegistry::Member> candidates;
     for (const auto &it : m_roster.members()) {
         if (it.isStoreTrusted && m_roster.isAlive(it.id, now))
             candidates.push_back(it);
@@ -437,14 +437,14 @@
     m_connections.dropOld(now);
     const auto routers = m_roster.aliveCount(now) + 1;
     const bool othersTrusted = m_roster.isStoreTrustedByOthers(now);
-    const bool shouldWatch = m_roster.shouldWatch(m_self, m_settings.watchersPerDomain, now);
+    const bool shouldWatchStore = m_roster.shouldWatchStore(m_self, m_settings.watchersPerDomain, now);
     for (auto *it : {&m_configurationView, &m_targetsView}) {
-        it->setOthersTrusted(othersTrusted);
-        it->setWatching(shouldWatch);
+        it->setStoreTrustedByOthers(othersTrusted);
+        it->setWatching(shouldWatchStore);
     }
     for (auto &[service, budget] : m_budgets)
-        budget.setRouters(routers, m_roster.members().size() + 1);
-    if (++m_seconds % detail::reconcileSeconds == 0 && !shouldWatch)
+        budget.setRouterCounts(routers, m_roster.members().size() + 1);
+    if (++m_seconds % detail::reconcileSeconds == 0 && !shouldWatchStore)
         reconcile(now);
     m_metrics.setGauge("routers_alive", static_cast<double>(routers));
     m_metrics.setGauge("targets", static_cast<double>(m_targets.size()));
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -2,8 +2,8 @@
 
 #pragma once
 
-#include <LibForwarding/RepeatBudget.h>
-#include <LibForwarding/RouterRoster.h>
+#include <LibForwarding/RouterRegistry.h>
+#include <LibForwarding/ServiceRetryBudget.h>
 #include <LibGateway/Directory.h>
 #include <LibGateway/ForwardSession.h>
 #include <LibGateway/GatewaySettings.h>
@@ -63,12 +63,12 @@
 
     void handleRequest(const std::shared_ptr<HttpServerConnection> &, HttpRequest) override;
     void configurationChanged(std::shared_ptr<const RouteTable>) override;
-    void targetChanged(const TargetRecord &) override;
+    void targetChanged(const ForwardingTarget &) override;
     void targetRemoved(const TargetId &) override;
     void routerChanged(const RouterRecord &) override;
     [[nodiscard]] PeerReport makeReport() override;
     void takeReport(const PeerReport &) override;
-    [[nodiscard]] std::vector<RouterRoster::Member> peers() const override { return m_roster.members(); }
+    [[nodiscard]] std::vector<RouterRegistry::Member> peers() const override { return m_roster.members(); }
 
     // Answers of the gateway itself; false when the request is none of these.
     bool answerOwn(const std::shared_ptr<HttpServerConnection> &, const HttpRequest &);
@@ -77,7 +77,7 @@
                 const std::string &requestId, std::optional<absl::Duration> after = std::nullopt);
     [[nodiscard]] HttpResponse entryPoints(const EntryPointQuery &) const;
     [[nodiscard]] bool isReady() const;
-    [[nodiscard]] RepeatBudget &budgetOf(const ServiceName &);
+    [[nodiscard]] ServiceRetryBudget &budgetOf(const ServiceName &);
     void targetFailed(const TargetId &, TargetFault);
     void tellSessions(const TargetId &, TargetFault);
     // Finds out whether a target that lost a connection is there at all.
@@ -99,8 +99,8 @@
     TargetPool m_targets;
     TargetConnections m_connections;
     GatewayParts m_parts;
-    RouterRoster m_roster;
-    RouterRoster::Member m_self;
+    RouterRegistry m_roster;
+    RouterRegistry::Member m_self;
     DirectoryView m_configurationView;
     DirectoryView m_targetsView;
     DirectoryView m_routersView;
@@ -108,7 +108,7 @@
     ViewRelay m_targetsRelay;
     std::shared_ptr<const RouteTable> m_routes;
     // Sessions hold references to the budgets, hence nodes that stay where they are.
-    absl::node_hash_map<ServiceName, RepeatBudget> m_budgets;
+    absl::node_hash_map<ServiceName, ServiceRetryBudget> m_budgets;
     absl::flat_hash_set<std::shared_ptr<ForwardSession>> m_sessions;
     std::vector<std::unique_ptr<HttpServer>> m_servers;
     std::unique_ptr<PeerLink> m_peerLink;
--- a/Libraries/LibGateway/GatewayLifecycle.cpp
+++ b/Libraries/LibGateway/GatewayLifecycle.cpp
@@ -26,7 +26,7 @@
                  {"entry_point_lifetime_s", absl::ToDoubleSeconds(settings.entryPointLifetime)},
                  {"stop_grace_s", absl::ToDoubleSeconds(settings.stopGrace)},
                  {"repeat_ratio", settings.repeats.ratio},
-                 {"repeat_slack", settings.repeats.slack}},
+                 {"repeat_slack", settings.repeats.minRetriesPerWindow}},
                 monotonicNow());
     m_settings.entryPointLifetime = settings.entryPointLifetime;
     m_settings.stopGrace = settings.stopGrace;
--- a/Libraries/LibGateway/GatewaySettings.cpp
+++ b/Libraries/LibGateway/GatewaySettings.cpp
@@ -7,11 +7,11 @@
 
 namespace detail {
 
-ErrorOr<RepeatLimits> readRepeats(SettingsReader reader)
+ErrorOr<RetryLimits> readRepeats(SettingsReader reader)
 {
-    RepeatLimits limits;
+    RetryLimits limits;
     reader.number("ratio", 0, 10, limits.ratio);
-    reader.number("slack", 0, 1e6, limits.slack);
+    reader.number("slack", 0, 1e6, limits.minRetriesPerWindow);
     reader.seconds("window_s", 0.1, 3600, limits.window);
     TRY_VOID(reader.finish());
     return limits;
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <LibConfig/Settings.h>
-#include <LibForwarding/RepeatBudget.h>
+#include <LibForwarding/ServiceRetryBudget.h>
 
 #include <string>
 
@@ -27,7 +27,7 @@
     absl::Duration entryPointLifetime{absl::Seconds(2)};
     // Time from the request to stop to the kill.
     absl::Duration stopGrace{absl::Seconds(8)};
-    RepeatLimits repeats;
+    RetryLimits repeats;
     LogSettings log;
     // Routers of one failure domain that watch the store; the others follow these.
     std::uint32_t watchersPerDomain{2};
--- a/Libraries/LibGateway/PeerLink.cpp
+++ b/Libraries/LibGateway/PeerLink.cpp
@@ -60,7 +60,7 @@
     ++m_rounds;
     const auto bytes = encodePeerReport(m_host.makeReport());
     for (const auto &it : m_host.peers()) {
-        const bool isSilent = now - it.heardAt > RouterRoster::silenceLimit;
+        const bool isSilent = now - it.lastReportAt > RouterRegistry::livenessTimeout;
         if (isSilent && m_rounds % silentPeerStride != 0)
             continue;
         const auto endpoint = parseEndpoint(it.peerAddress);
--- a/Libraries/LibGateway/PeerLink.h
+++ b/Libraries/LibGateway/PeerLink.h
@@ -21,7 +21,7 @@
     virtual ~PeerLinkHost() = default;
     [[nodiscard]] virtual PeerReport makeReport() = 0;
     virtual void takeReport(const PeerReport &) = 0;
-    [[nodiscard]] virtual std::vector<RouterRoster::Member> peers() const = 0;
+    [[nodiscard]] virtual std::vector<RouterRegistry::Member> peers() const = 0;
 };
 
 class PeerLink
--- a/Libraries/LibGateway/TargetAttempt.cpp
+++ b/Libraries/LibGateway/TargetAttempt.cpp
@@ -31,7 +31,7 @@
     m_response.head = head;
     m_origin = m_dialect.judgeAnswer(head, m_id);
     if (m_origin == AnswerOrigin::Foreign) {
-        lose(TargetFault::BadAnswer);
+        lose(TargetFault::InvalidResponse);
         return;
     }
     m_isStream = m_origin == AnswerOrigin::Target && m_dialect.isEventStream(head);
@@ -47,26 +47,26 @@
     }
     m_response.body += data;
     if (m_response.body.size() > maxAnswerBytes)
-        lose(TargetFault::BadAnswer);
+        lose(TargetFault::InvalidResponse);
 }
 
 void TargetAttempt::takeEvents(std::string_view data)
 {
     auto events = m_splitter.feed(data);
     if (!events) {
-        lose(TargetFault::BadAnswer);
+        lose(TargetFault::InvalidResponse);
         return;
     }
     std::vector<RawEvent> fresh;
     for (auto &it : *events) {
         if (!it.number) {
-            lose(TargetFault::BadAnswer);
+            lose(TargetFault::InvalidResponse);
             return;
         }
         if (m_lastEvent && *it.number <= *m_lastEvent)
             continue;
         if (m_lastEvent && it.number->value() != m_lastEvent->value() + 1) {
-            lose(TargetFault::BadAnswer);
+            lose(TargetFault::InvalidResponse);
             return;
         }
         m_lastEvent = it.number;
@@ -79,7 +79,7 @@
 void TargetAttempt::answerEnded()
 {
     if (m_isStream && m_splitter.hasPartialEvent()) {
-        lose(TargetFault::BadAnswer);
+        lose(TargetFault::InvalidResponse);
         return;
     }
     auto *listener = takeListener();
@@ -90,7 +90,7 @@
     else if (m_origin == AnswerOrigin::NotRunReplaced)
         listener->attemptNotRun(TargetFault::Gone, true);
     else if (m_origin == AnswerOrigin::NotRunFull)
-        listener->attemptNotRun(TargetFault::BadAnswer, true);
+        listener->attemptNotRun(TargetFault::InvalidResponse, true);
     else
         listener->answerArrived(std::move(m_response));
 }
@@ -104,13 +104,13 @@
     if (m_origin == AnswerOrigin::NotRunReplaced)
         listener->attemptNotRun(TargetFault::Gone, true);
     else if (m_origin == AnswerOrigin::NotRunFull)
-        listener->attemptNotRun(TargetFault::BadAnswer, true);
+        listener->attemptNotRun(TargetFault::InvalidResponse, true);
     else if (failure == HttpFailure::Refused)
         listener->attemptNotRun(TargetFault::Gone, false);
     else if (failure == HttpFailure::NotConnected)
         listener->attemptNotRun(TargetFault::Unreachable, false);
     else if (failure == HttpFailure::BadAnswer)
-        listener->attemptLost(TargetFault::BadAnswer);
+        listener->attemptLost(TargetFault::InvalidResponse);
     else
         listener->attemptLost(TargetFault::ConnectionLost);
 }
--- a/Libraries/LibGateway/TargetConnections.cpp
+++ b/Libraries/LibGateway/TargetConnections.cpp
@@ -17,7 +17,7 @@
 
 } // namespace detail
 
-std::shared_ptr<HttpClientConnection> TargetConnections::take(const TargetRecord &record, absl::Time now)
+std::shared_ptr<HttpClientConnection> TargetConnections::take(const ForwardingTarget &record, absl::Time now)
 {
     auto &entry = m_entries[record.id];
     if (!entry.pool || entry.address != record.address || entry.startedAtMs != record.startedAtMs) {
@@ -33,7 +33,7 @@
     return entry.pool->take(now);
 }
 
-void TargetConnections::probe(const TargetRecord &record, std::function<void(ProbeResult)> handler)
+void TargetConnections::probe(const ForwardingTarget &record, std::function<void(ProbeResult)> handler)
 {
     const auto endpoint = parseEndpoint(record.address);
     if (!endpoint) {
@@ -72,7 +72,7 @@
     });
 }
 
-void TargetConnections::call(const TargetRecord &record, const TargetCall &target, absl::Duration timeout,
+void TargetConnections::call(const ForwardingTarget &record, const TargetCall &target, absl::Duration timeout,
                              HttpCallHandler handler)
 {
     auto connection = take(record, monotonicNow());
--- a/Libraries/LibGateway/TargetConnections.h
+++ b/Libraries/LibGateway/TargetConnections.h
@@ -25,11 +25,11 @@
     explicit TargetConnections(boost::asio::io_context &context) : m_context(context) { }
 
     // A connection to the target; null for an address that is none.
-    [[nodiscard]] std::shared_ptr<HttpClientConnection> take(const TargetRecord &, absl::Time now);
+    [[nodiscard]] std::shared_ptr<HttpClientConnection> take(const ForwardingTarget &, absl::Time now);
     // Tells whether the target accepts connections at all.
-    void probe(const TargetRecord &, std::function<void(ProbeResult)>);
+    void probe(const ForwardingTarget &, std::function<void(ProbeResult)>);
     // Calls the target on a kept connection.
-    void call(const TargetRecord &, const TargetCall &, absl::Duration timeout, HttpCallHandler);
+    void call(const ForwardingTarget &, const TargetCall &, absl::Duration timeout, HttpCallHandler);
     void remove(const TargetId &);
     // Closes idle connections whose peer is about to do so.
     void dropOld(absl::Time now);
--- a/Libraries/LibGateway/ViewRelay.cpp
+++ b/Libraries/LibGateway/ViewRelay.cpp
@@ -76,7 +76,7 @@
     return response;
 }
 
-void ViewRelay::noteRevision(const RouterRoster::Member &peer, ObjectVersion revision)
+void ViewRelay::noteRevision(const RouterRegistry::Member &peer, ObjectVersion revision)
 {
     if (revision <= m_view.changeRevision())
         return;
@@ -90,13 +90,13 @@
     });
 }
 
-void ViewRelay::pullWhole(const RouterRoster::Member &peer)
+void ViewRelay::pullWhole(const RouterRegistry::Member &peer)
 {
     if (!std::exchange(m_isPulling, true))
         pull(peer, ObjectVersion());
 }
 
-void ViewRelay::pull(const RouterRoster::Member &peer, ObjectVersion after)
+void ViewRelay::pull(const RouterRegistry::Member &peer, ObjectVersion after)
 {
     const auto endpoint = parseEndpoint(peer.peerAddress);
     if (!endpoint) {
--- a/Libraries/LibGateway/ViewRelay.h
+++ b/Libraries/LibGateway/ViewRelay.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include <LibForwarding/RouterRoster.h>
+#include <LibForwarding/RouterRegistry.h>
 #include <LibGateway/Directory.h>
 #include <LibNet/HttpClient.h>
 
@@ -49,12 +49,12 @@
     [[nodiscard]] HttpResponse answer(ObjectVersion after);
 
     // The router said that its view has this revision.
-    void noteRevision(const RouterRoster::Member &, ObjectVersion);
+    void noteRevision(const RouterRegistry::Member &, ObjectVersion);
     // Compares the whole view with the other router's.
-    void pullWhole(const RouterRoster::Member &);
+    void pullWhole(const RouterRegistry::Member &);
 
 private:
-    void pull(const RouterRoster::Member &, ObjectVersion after);
+    void pull(const RouterRegistry::Member &, ObjectVersion after);
     void take(const RouterId &, const HttpCallResult &);
     void logFailure(const RouterId &, std::string_view detail);
 
@@ -66,7 +66,7 @@
     RandomSource &m_random;
     boost::asio::steady_timer m_timer;
     // The router that was last heard of with a newer view.
-    RouterRoster::Member m_newerPeer;
+    RouterRegistry::Member m_newerPeer;
     // A call to another router is under way or about to begin.
     bool m_isPulling{false};
     // Encoded answers by the revision asked from. Invariant: made at m_encodedAt.
--- a/Tests/LibForwarding/TestDispatchRule.cpp
+++ b/Tests/LibForwarding/TestDeadlineAdmission.cpp
@@ -1,6 +1,6 @@
 // Refusing what cannot end, under the load that it answers, on a virtual clock.
 
-#include <LibForwarding/DispatchRule.h>
+#include <LibForwarding/DeadlineAdmission.h>
 #include <LibForwarding/TargetPool.h>
 
 #include <absl/strings/str_cat.h>
@@ -24,9 +24,9 @@
 
 } // namespace detail
 
-class TestDispatchRule : public CppUnit::TestFixture
+class TestDeadlineAdmission : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestDispatchRule);
+    CPPUNIT_TEST_SUITE(TestDeadlineAdmission);
     CPPUNIT_TEST(promptThatCannotBeReadInTimeCannotEnd);
     CPPUNIT_TEST(expectedAnswerCountsWherePromptsWait);
     CPPUNIT_TEST(freeTargetIsTriedDespiteTheGuess);
@@ -65,14 +65,14 @@
     void backlogOfTheBestSoundTargetCounts()
     {
         auto pool = makePool();
-        TargetNeed need{.service = ServiceName("s"), .isModelService = true};
+        TargetRequirements need{.service = ServiceName("s"), .isModelService = true};
         for (int n = 0; n < targets; ++n)
-            pool.addLoad(id(n), {.unreadTokens = std::int64_t{8000} * (n + 1)});
+            pool.addLoad(id(n), {.pendingPrefillTokens = std::int64_t{8000} * (n + 1)});
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::Seconds(1));
-        pool.noteFault(id(0), TargetFault::Silent, m_start);
+        pool.recordFault(id(0), TargetFault::Unresponsive, m_start);
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::Seconds(2));
         for (int n = 1; n < targets; ++n)
-            pool.noteFault(id(n), TargetFault::Gone, m_start);
+            pool.recordFault(id(n), TargetFault::Gone, m_start);
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::InfiniteDuration());
     }
 
@@ -103,7 +103,7 @@
 
     static bool canEnd(const GenerationSize &size, absl::Duration backlog, absl::Duration timeLeft)
     {
-        return DispatchRule::canEnd({.size = size, .backlog = backlog, .timeLeft = timeLeft});
+        return DeadlineAdmission::canFinishInTime({.size = size, .backlog = backlog, .timeLeft = timeLeft});
     }
 
     TargetPool makePool()
@@ -123,9 +123,9 @@
     {
         constexpr int callers = 60;
         const GenerationSize size{.promptTokens = 8000, .maxOutputTokens = 300, .expectedOutputTokens = 300};
-        const auto writing = DispatchRule::leastTokenTime * size.expectedOutputTokens;
-        const auto reading =
-            absl::Milliseconds(static_cast<double>(size.promptTokens) / DispatchRule::prefillTokensPerMs);
+        const auto writing = DeadlineAdmission::minTokenTime * size.expectedOutputTokens;
+        const auto reading = absl::Milliseconds(static_cast<double>(size.promptTokens)
+                                                / DeadlineAdmission::prefillTokensPerMs);
         m_random = SeededRandom(3);
         std::map<int, absl::Time> freeAt;
         detail::Outcome out;
@@ -160,6 +160,6 @@
     SeededRandom m_random{3};
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestDispatchRule);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestDeadlineAdmission);
 
 } // namespace Wisteria
--- /dev/null
+++ b/Tests/LibForwarding/TestDirectorySynchronizer.cpp
@@ -0,0 +1,207 @@
+// Following the store through outages, lost history, lapsed entries and relays.
+
+#include <LibForwarding/DirectorySynchronizer.h>
+
+#include <cppunit/extensions/HelperMacros.h>
+
+namespace Wisteria {
+
+class TestDirectorySynchronizer : public CppUnit::TestFixture
+{
+    CPPUNIT_TEST_SUITE(TestDirectorySynchronizer);
+    CPPUNIT_TEST(listsThenWatches);
+    CPPUNIT_TEST(lostHistoryIsListedAnew);
+    CPPUNIT_TEST(failedCallsAreSpacedOut);
+    CPPUNIT_TEST(lapsedEntryThatComesBackIsKept);
+    CPPUNIT_TEST(lapsedEntryThatStaysAwayIsRemovedAfterTheGrace);
+    CPPUNIT_TEST(removalIsBelievedWhenOthersHadTheStore);
+    CPPUNIT_TEST(relayedRemovalIsBelievedDuringAnOutage);
+    CPPUNIT_TEST(withoutViewTheStoreIsAskedMoreOften);
+    CPPUNIT_TEST(olderRelayIsIgnored);
+    CPPUNIT_TEST(olderRevisionOfAnObjectIsIgnored);
+    CPPUNIT_TEST(relayedChangesMoveTheRevision);
+    CPPUNIT_TEST_SUITE_END();
+
+public:
+    void listsThenWatches()
+    {
+        CPPUNIT_ASSERT(has<DirectorySyncActions::StartList>(m_follower.begin()));
+        const auto actions = m_follower.handle(listed({"a", "b"}, 10), m_now);
+        CPPUNIT_ASSERT_EQUAL(2, count<DirectorySyncActions::Apply>(actions));
+        CPPUNIT_ASSERT(has<DirectorySyncActions::StartWatch>(actions));
+        CPPUNIT_ASSERT(m_follower.hasView());
+    }
+
+    void lostHistoryIsListedAnew()
+    {
+        start();
+        CPPUNIT_ASSERT(has<DirectorySyncActions::StartList>(
+            m_follower.handle(DirectorySyncEvents::RevisionExpired{}, m_now)));
+        const auto actions = m_follower.handle(listed({"a"}, 20), m_now);
+        CPPUNIT_ASSERT_EQUAL(1, count<DirectorySyncActions::Remove>(actions));
+    }
+
+    void failedCallsAreSpacedOut()
+    {
+        start();
+        int calls = 0;
+        auto now = m_now;
+        const auto end = m_now + absl::Seconds(20);
+        auto actions = m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
+        CPPUNIT_ASSERT(has<DirectorySyncActions::StoreLost>(actions));
+        while (now < end) {
+            now += absl::Milliseconds(10);
+            actions = m_follower.handle(DirectorySyncEvents::Tick{}, now);
+            if (has<DirectorySyncActions::StartWatch>(actions)) {
+                ++calls;
+                (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
+            }
+        }
+        // At most two a second once the pause has grown.
+        CPPUNIT_ASSERT(calls >= 15 && calls <= 45);
+    }
+
+    // Load pattern: all routers were ended while the store is away, so that nothing is served until the first
+    // list after its return.
+    void withoutViewTheStoreIsAskedMoreOften()
+    {
+        DirectorySynchronizer follower(m_random);
+        (void)follower.begin();
+        auto now = m_now;
+        (void)follower.handle(DirectorySyncEvents::CallFailed{}, now);
+        auto lastCall = now;
+        const auto end = m_now + absl::Seconds(20);
+        while (now < end) {
+            now += absl::Milliseconds(10);
+            if (!has<DirectorySyncActions::StartList>(follower.handle(DirectorySyncEvents::Tick{}, now)))
+                continue;
+            CPPUNIT_ASSERT(now - lastCall
+                           <= DirectorySynchronizer::maxBackoffWithoutView + absl::Milliseconds(10));
+            lastCall = now;
+            (void)follower.handle(DirectorySyncEvents::CallFailed{}, now);
+        }
+        CPPUNIT_ASSERT(lastCall > end - absl::Seconds(1));
+    }
+
+    void lapsedEntryThatComesBackIsKept()
+    {
+        start();
+        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        const auto back = m_now + absl::Seconds(5);
+        auto actions = m_follower.handle(
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)}, back);
+        CPPUNIT_ASSERT(!has<DirectorySyncActions::Remove>(actions));
+        actions = m_follower.handle(
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(12), false}}, ObjectVersion(12)},
+            back + absl::Seconds(1));
+        actions = m_follower.handle(DirectorySyncEvents::Tick{}, back + absl::Seconds(10));
+        CPPUNIT_ASSERT(!has<DirectorySyncActions::Remove>(actions));
+    }
+
+    void lapsedEntryThatStaysAwayIsRemovedAfterTheGrace()
+    {
+        start();
+        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        const auto back = m_now + absl::Seconds(5);
+        (void)m_follower.handle(
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)}, back);
+        const auto before = back + DirectorySynchronizer::removalGracePeriod - absl::Milliseconds(1);
+        CPPUNIT_ASSERT(
+            !has<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, before)));
+        const auto after = back + DirectorySynchronizer::removalGracePeriod;
+        CPPUNIT_ASSERT(
+            has<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, after)));
+    }
+
+    // Found by hunt vmc-fleet mix --seed 374452928566: the store had turned away this router only, and the
+    // removal of a leaving target was held back past the bound.
+    void removalIsBelievedWhenOthersHadTheStore()
+    {
+        start();
+        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        m_follower.setStoreTrustedByOthers(true);
+        const auto actions = m_follower.handle(
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
+            m_now + absl::Seconds(5));
+        CPPUNIT_ASSERT(has<DirectorySyncActions::Remove>(actions));
+    }
+
+    void relayedRemovalIsBelievedDuringAnOutage()
+    {
+        start();
+        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        const auto actions = m_follower.handle(
+            DirectorySyncEvents::RelayReceived{{{"a", ObjectVersion(11), true}}, ObjectVersion(11), false},
+            m_now);
+        CPPUNIT_ASSERT(has<DirectorySyncActions::Remove>(actions));
+    }
+
+    void olderRelayIsIgnored()
+    {
+        start();
+        const auto actions = m_follower.handle(
+            DirectorySyncEvents::RelayReceived{{{"a", ObjectVersion(3), true}}, ObjectVersion(9), true},
+            m_now);
+        CPPUNIT_ASSERT(actions.empty());
+    }
+
+    void olderRevisionOfAnObjectIsIgnored()
+    {
+        start();
+        (void)m_follower.handle(
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(15), false}}, ObjectVersion(15)}, m_now);
+        const auto actions = m_follower.handle(
+            DirectorySyncEvents::WatchCompleted{
+                {{"a", ObjectVersion(14), false}, {"a", ObjectVersion(14), true}}, ObjectVersion(16)},
+            m_now);
+        CPPUNIT_ASSERT(!has<DirectorySyncActions::Apply>(actions));
+        CPPUNIT_ASSERT(!has<DirectorySyncActions::Remove>(actions));
+    }
+
+    void relayedChangesMoveTheRevision()
+    {
+        start();
+        (void)m_follower.handle(
+            DirectorySyncEvents::RelayReceived{{{"c", ObjectVersion(30), false}}, ObjectVersion(30), false},
+            m_now);
+        CPPUNIT_ASSERT(m_follower.changeRevision() == ObjectVersion(30));
+        CPPUNIT_ASSERT(m_follower.revision() == ObjectVersion(30));
+    }
+
+private:
+    static DirectorySyncEvents::ListCompleted listed(const std::vector<std::string> &names,
+                                                     std::uint64_t revision)
+    {
+        DirectorySyncEvents::ListCompleted out;
+        for (const auto &it : names)
+            out.objects.push_back({it, ObjectVersion(1), false});
+        out.revision = ObjectVersion(revision);
+        return out;
+    }
+    void start()
+    {
+        (void)m_follower.begin();
+        (void)m_follower.handle(listed({"a", "b"}, 10), m_now);
+    }
+    template <typename Action>
+    static int count(const DirectorySyncActionList &actions)
+    {
+        int n = 0;
+        for (const auto &it : actions)
+            n += std::holds_alternative<Action>(it) ? 1 : 0;
+        return n;
+    }
+    template <typename Action>
+    static bool has(const DirectorySyncActionList &actions)
+    {
+        return count<Action>(actions) > 0;
+    }
+
+    absl::Time m_now{absl::FromUnixSeconds(1000)};
+    SeededRandom m_random{3};
+    DirectorySynchronizer m_follower{m_random};
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(TestDirectorySynchronizer);
+
+} // namespace Wisteria
--- a/Tests/LibForwarding/TestForwardedRequest.cpp
+++ b/Tests/LibForwarding/TestForwardedRequest.cpp
@@ -10,18 +10,18 @@
 namespace detail {
 
 // A budget of a fixed number of repeats.
-class CountedGate final : public RepeatGate
+class CountedGate final : public RetryGate
 {
 public:
     explicit CountedGate(int left) : m_left(left) { }
-    bool tryTakeRepeat(absl::Time) override { return m_left-- > 0; }
+    bool tryAcquireRetry(absl::Time) override { return m_left-- > 0; }
 
 private:
     int m_left;
 };
 
 template <typename Action>
-const Action *findAction(const ForwardingActions &actions)
+const Action *findAction(const ForwardingActionList &actions)
 {
     for (const auto &it : actions) {
         if (const auto *found = std::get_if<Action>(&it))
@@ -30,31 +30,31 @@
     return nullptr;
 }
 
-ForwardingTerms streamTerms()
+ForwardingParameters streamTerms()
 {
-    ForwardingTerms terms;
+    ForwardingParameters terms;
     terms.kind = RouteKind::ResumableStream;
     terms.maxAttempts = 5;
     terms.routeTimeout = absl::Seconds(25);
-    terms.patience = absl::Seconds(25);
+    terms.callerTimeout = absl::Seconds(25);
     terms.latencyObjective = absl::Milliseconds(4500);
-    terms.longestGap = absl::Milliseconds(700);
+    terms.maxEventGap = absl::Milliseconds(700);
     terms.usesCopies = true;
     return terms;
 }
 
-ForwardingTerms onceTerms()
+ForwardingParameters onceTerms()
 {
-    ForwardingTerms terms;
-    terms.kind = RouteKind::Once;
+    ForwardingParameters terms;
+    terms.kind = RouteKind::AtMostOnce;
     terms.maxAttempts = 1;
     terms.routeTimeout = absl::Milliseconds(800);
-    terms.patience = absl::Milliseconds(1500);
+    terms.callerTimeout = absl::Milliseconds(1500);
     terms.latencyObjective = absl::Milliseconds(100);
     return terms;
 }
 
-ForwardingTerms idempotentTerms()
+ForwardingParameters idempotentTerms()
 {
     auto terms = onceTerms();
     terms.kind = RouteKind::Idempotent;
@@ -95,12 +95,13 @@
     {
         detail::CountedGate gate(detail::plentyOfRepeats);
         ForwardedRequest request(detail::onceTerms(), gate, m_start);
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(request.begin(m_start)));
-        const auto actions = request.handle(Events::AttemptLost{}, m_start + absl::Milliseconds(10));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::StartAttempt>(actions));
-        const auto *refusal = detail::findAction<Actions::Refuse>(actions);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(request.begin(m_start)));
+        const auto actions =
+            request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Milliseconds(10));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::StartAttempt>(actions));
+        const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
         CPPUNIT_ASSERT(refusal);
-        CPPUNIT_ASSERT(!refusal->isNotRun);
+        CPPUNIT_ASSERT(!refusal->isNotExecuted);
         CPPUNIT_ASSERT_EQUAL(502, refusal->status);
         CPPUNIT_ASSERT(!refusal->retryAfter);
     }
@@ -110,8 +111,8 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::onceTerms(), gate, m_start);
         (void)request.begin(m_start);
-        const auto actions = request.handle(Events::AttemptNotRun{}, m_start);
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(actions));
+        const auto actions = request.handle(ForwardingEvents::AttemptNotExecuted{}, m_start);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
     }
 
     void refusalByTargetDrawsOnTheBudget()
@@ -119,11 +120,11 @@
         detail::CountedGate gate(1);
         ForwardedRequest request(detail::onceTerms(), gate, m_start);
         (void)request.begin(m_start);
-        const Events::AttemptNotRun refused{.fault = TargetFault::Gone, .wasRefused = true};
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(request.handle(refused, m_start)));
+        const ForwardingEvents::AttemptNotExecuted refused{.fault = TargetFault::Gone, .wasRefused = true};
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(request.handle(refused, m_start)));
         const auto actions = request.handle(refused, m_start);
-        const auto *refusal = detail::findAction<Actions::Refuse>(actions);
-        CPPUNIT_ASSERT(refusal && refusal->isNotRun && refusal->retryAfter);
+        const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
+        CPPUNIT_ASSERT(refusal && refusal->isNotExecuted && refusal->retryAfter);
         CPPUNIT_ASSERT_EQUAL(503, refusal->status);
     }
 
@@ -132,9 +133,9 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         (void)request.begin(m_start);
-        const auto actions = request.handle(Events::NoTarget{}, m_start);
-        const auto *refusal = detail::findAction<Actions::Refuse>(actions);
-        CPPUNIT_ASSERT(refusal && refusal->isNotRun && refusal->retryAfter);
+        const auto actions = request.handle(ForwardingEvents::NoTarget{}, m_start);
+        const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
+        CPPUNIT_ASSERT(refusal && refusal->isNotExecuted && refusal->retryAfter);
         CPPUNIT_ASSERT(request.isFinished());
     }
 
@@ -143,11 +144,11 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::onceTerms(), gate, m_start);
         (void)request.begin(m_start);
-        CPPUNIT_ASSERT_EQUAL(std::string("800ms"), absl::FormatDuration(request.answerBy() - m_start));
-        const auto actions = request.handle(Events::Tick{}, request.answerBy());
-        CPPUNIT_ASSERT(detail::findAction<Actions::CancelAttempt>(actions));
-        const auto *refusal = detail::findAction<Actions::Refuse>(actions);
-        CPPUNIT_ASSERT(refusal && !refusal->isNotRun);
+        CPPUNIT_ASSERT_EQUAL(std::string("800ms"), absl::FormatDuration(request.deadline() - m_start));
+        const auto actions = request.handle(ForwardingEvents::Tick{}, request.deadline());
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::CancelAttempt>(actions));
+        const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
+        CPPUNIT_ASSERT(refusal && !refusal->isNotExecuted);
         CPPUNIT_ASSERT_EQUAL(504, refusal->status);
     }
 
@@ -156,11 +157,11 @@
         detail::CountedGate gate(detail::plentyOfRepeats);
         ForwardedRequest request(detail::idempotentTerms(), gate, m_start);
         (void)request.begin(m_start);
-        auto actions = request.handle(Events::AnswerArrived{500}, m_start);
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(actions));
-        actions = request.handle(Events::AnswerArrived{500}, m_start);
-        CPPUNIT_ASSERT(detail::findAction<Actions::DeliverAnswer>(actions));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::Refuse>(actions));
+        auto actions = request.handle(ForwardingEvents::ResponseReceived{500}, m_start);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
+        actions = request.handle(ForwardingEvents::ResponseReceived{500}, m_start);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::SendResponse>(actions));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions));
     }
 
     void silentIdempotentAttemptIsReplaced()
@@ -168,10 +169,10 @@
         detail::CountedGate gate(detail::plentyOfRepeats);
         ForwardedRequest request(detail::idempotentTerms(), gate, m_start);
         (void)request.begin(m_start);
-        const auto actions = request.handle(Events::Tick{}, m_start + absl::Milliseconds(301));
-        const auto *cancel = detail::findAction<Actions::CancelAttempt>(actions);
-        CPPUNIT_ASSERT(cancel && cancel->fault == TargetFault::Silent);
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(actions));
+        const auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(301));
+        const auto *cancel = detail::findAction<ForwardingActions::CancelAttempt>(actions);
+        CPPUNIT_ASSERT(cancel && cancel->fault == TargetFault::Unresponsive);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
     }
 
     void silentIdempotentAttemptStaysWithoutBudget()
@@ -179,10 +180,10 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::idempotentTerms(), gate, m_start);
         (void)request.begin(m_start);
-        auto actions = request.handle(Events::Tick{}, m_start + absl::Milliseconds(301));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::CancelAttempt>(actions));
-        actions = request.handle(Events::AnswerArrived{200}, m_start + absl::Milliseconds(400));
-        CPPUNIT_ASSERT(detail::findAction<Actions::DeliverAnswer>(actions));
+        auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(301));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(actions));
+        actions = request.handle(ForwardingEvents::ResponseReceived{200}, m_start + absl::Milliseconds(400));
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::SendResponse>(actions));
     }
 
     // Load pattern: callers come back at once after an outage, with little patience left.
@@ -192,17 +193,17 @@
         const auto now = absl::FromUnixSeconds(1000);
         ForwardedRequest request(detail::streamTerms(), gate, now);
         (void)request.begin(now);
-        const auto actions = request.handle(Events::NoTimeLeft{}, now);
-        const auto *refusal = detail::findAction<Actions::Refuse>(actions);
-        CPPUNIT_ASSERT(refusal && refusal->isNotRun && refusal->retryAfter);
+        const auto actions = request.handle(ForwardingEvents::NoTimeLeft{}, now);
+        const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
+        CPPUNIT_ASSERT(refusal && refusal->isNotExecuted && refusal->retryAfter);
         CPPUNIT_ASSERT_EQUAL(503, refusal->status);
         CPPUNIT_ASSERT(request.isFinished());
         // After an attempt that may have run, "not run" would be false.
         ForwardedRequest repeated(detail::streamTerms(), gate, now);
         (void)repeated.begin(now);
-        (void)repeated.handle(Events::AttemptLost{}, now);
-        const auto last = repeated.handle(Events::NoTimeLeft{}, now);
-        CPPUNIT_ASSERT_EQUAL(502, detail::findAction<Actions::Refuse>(last)->status);
+        (void)repeated.handle(ForwardingEvents::AttemptLost{}, now);
+        const auto last = repeated.handle(ForwardingEvents::NoTimeLeft{}, now);
+        CPPUNIT_ASSERT_EQUAL(502, detail::findAction<ForwardingActions::Refuse>(last)->status);
     }
 
     // Found by the soak, seed 103 (504 after the whole timeout): the target's link carried no answer, but
@@ -213,14 +214,15 @@
         const auto begin = absl::FromUnixSeconds(1000);
         ForwardedRequest request(detail::streamTerms(), gate, begin);
         (void)request.begin(begin);
-        (void)request.handle(Events::AttemptPlaced{absl::Seconds(1)}, begin);
+        (void)request.handle(ForwardingEvents::AttemptSent{absl::Seconds(1)}, begin);
         const auto objective = detail::streamTerms().latencyObjective;
-        const auto early = request.handle(Events::Tick{}, begin + objective - absl::Milliseconds(1));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::CancelAttempt>(early));
-        const auto late = request.handle(Events::Tick{}, begin + objective);
-        const auto *cancel = detail::findAction<Actions::CancelAttempt>(late);
-        CPPUNIT_ASSERT(cancel && cancel->fault == TargetFault::Silent);
-        const auto *start = detail::findAction<Actions::StartAttempt>(late);
+        const auto early =
+            request.handle(ForwardingEvents::Tick{}, begin + objective - absl::Milliseconds(1));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(early));
+        const auto late = request.handle(ForwardingEvents::Tick{}, begin + objective);
+        const auto *cancel = detail::findAction<ForwardingActions::CancelAttempt>(late);
+        CPPUNIT_ASSERT(cancel && cancel->fault == TargetFault::Unresponsive);
+        const auto *start = detail::findAction<ForwardingActions::StartAttempt>(late);
         CPPUNIT_ASSERT(start && start->number == 2 && !start->fromCopy);
     }
 
@@ -231,11 +233,11 @@
         const auto begin = absl::FromUnixSeconds(1000);
         ForwardedRequest request(detail::streamTerms(), gate, begin);
         (void)request.begin(begin);
-        (void)request.handle(Events::AttemptPlaced{absl::Seconds(4)}, begin);
-        const auto actions = request.handle(Events::Tick{}, begin + absl::Milliseconds(11900));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::CancelAttempt>(actions));
-        const auto lost = request.handle(Events::Tick{}, begin + absl::Seconds(12));
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(lost));
+        (void)request.handle(ForwardingEvents::AttemptSent{absl::Seconds(4)}, begin);
+        const auto actions = request.handle(ForwardingEvents::Tick{}, begin + absl::Milliseconds(11900));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(actions));
+        const auto lost = request.handle(ForwardingEvents::Tick{}, begin + absl::Seconds(12));
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(lost));
     }
 
     void stalledStreamGoesOnFromItsCopy()
@@ -244,14 +246,14 @@
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         (void)request.begin(m_start);
         const auto eventAt = m_start + absl::Seconds(1);
-        CPPUNIT_ASSERT(detail::findAction<Actions::OpenAnswer>(
-            request.handle(Events::EventsArrived{EventNumber(7)}, eventAt)));
-        const auto actions = request.handle(Events::Tick{}, eventAt + absl::Milliseconds(351));
-        const auto *start = detail::findAction<Actions::StartAttempt>(actions);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartResponse>(
+            request.handle(ForwardingEvents::EventsReceived{EventNumber(7)}, eventAt)));
+        const auto actions = request.handle(ForwardingEvents::Tick{}, eventAt + absl::Milliseconds(351));
+        const auto *start = detail::findAction<ForwardingActions::StartAttempt>(actions);
         CPPUNIT_ASSERT(start && start->fromCopy);
         CPPUNIT_ASSERT(start->lastEvent == EventNumber(7));
         // The old run is ended before the new one is asked for.
-        CPPUNIT_ASSERT(std::holds_alternative<Actions::CancelAttempt>(actions.front()));
+        CPPUNIT_ASSERT(std::holds_alternative<ForwardingActions::CancelAttempt>(actions.front()));
     }
 
     void missingCopyIsReadAnewAfterTheLastEvent()
@@ -259,12 +261,13 @@
         detail::CountedGate gate(detail::plentyOfRepeats);
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         (void)request.begin(m_start);
-        (void)request.handle(Events::EventsArrived{EventNumber(3)}, m_start + absl::Seconds(1));
-        auto actions = request.handle(Events::AttemptLost{}, m_start + absl::Seconds(1));
-        CPPUNIT_ASSERT(detail::findAction<Actions::StartAttempt>(actions)->fromCopy);
-        actions = request.handle(Events::AttemptNotRun{.wasRefused = true, .isCopyMissing = true},
-                                 m_start + absl::Seconds(1));
-        const auto *start = detail::findAction<Actions::StartAttempt>(actions);
+        (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(3)}, m_start + absl::Seconds(1));
+        auto actions = request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Seconds(1));
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions)->fromCopy);
+        actions =
+            request.handle(ForwardingEvents::AttemptNotExecuted{.wasRefused = true, .isCopyMissing = true},
+                           m_start + absl::Seconds(1));
+        const auto *start = detail::findAction<ForwardingActions::StartAttempt>(actions);
         CPPUNIT_ASSERT(start && !start->fromCopy);
         CPPUNIT_ASSERT(start->lastEvent == EventNumber(3));
     }
@@ -275,9 +278,9 @@
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         int attempts = 0;
         auto actions = request.begin(m_start);
-        while (detail::findAction<Actions::StartAttempt>(actions)) {
+        while (detail::findAction<ForwardingActions::StartAttempt>(actions)) {
             ++attempts;
-            actions = request.handle(Events::AttemptLost{}, m_start + absl::Milliseconds(attempts));
+            actions = request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Milliseconds(attempts));
         }
         CPPUNIT_ASSERT_EQUAL(5, attempts);
         CPPUNIT_ASSERT(request.isFinished());
@@ -288,11 +291,11 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         (void)request.begin(m_start);
-        (void)request.handle(Events::EventsArrived{EventNumber(1)}, m_start);
-        const auto actions = request.handle(Events::AttemptLost{}, m_start);
-        CPPUNIT_ASSERT(detail::findAction<Actions::BreakOff>(actions));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::CompleteStream>(actions));
-        CPPUNIT_ASSERT(!detail::findAction<Actions::Refuse>(actions));
+        (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(1)}, m_start);
+        const auto actions = request.handle(ForwardingEvents::AttemptLost{}, m_start);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::AbortResponse>(actions));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CompleteStream>(actions));
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions));
     }
 
     void callerThatLeftEndsTheAttempt()
@@ -300,10 +303,10 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         (void)request.begin(m_start);
-        const auto actions = request.handle(Events::CallerLeft{}, m_start);
+        const auto actions = request.handle(ForwardingEvents::CallerDisconnected{}, m_start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
-        CPPUNIT_ASSERT(detail::findAction<Actions::CancelAttempt>(actions));
-        CPPUNIT_ASSERT(request.handle(Events::Tick{}, m_start + absl::Seconds(1)).empty());
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::CancelAttempt>(actions));
+        CPPUNIT_ASSERT(request.handle(ForwardingEvents::Tick{}, m_start + absl::Seconds(1)).empty());
     }
 
     void stopBreaksARunningStreamOff()
@@ -311,10 +314,10 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::streamTerms(), gate, m_start);
         (void)request.begin(m_start);
-        (void)request.handle(Events::EventsArrived{EventNumber(1)}, m_start);
-        const auto actions = request.handle(Events::StopNow{}, m_start);
-        CPPUNIT_ASSERT(detail::findAction<Actions::CancelAttempt>(actions));
-        CPPUNIT_ASSERT(detail::findAction<Actions::BreakOff>(actions));
+        (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(1)}, m_start);
+        const auto actions = request.handle(ForwardingEvents::ShutdownRequested{}, m_start);
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::CancelAttempt>(actions));
+        CPPUNIT_ASSERT(detail::findAction<ForwardingActions::AbortResponse>(actions));
     }
 
     void stopRefusesNothingThatMayHaveRunAsNotRun()
@@ -322,8 +325,8 @@
         detail::CountedGate gate(0);
         ForwardedRequest request(detail::onceTerms(), gate, m_start);
         (void)request.begin(m_start);
-        const auto actions = request.handle(Events::StopNow{}, m_start);
-        CPPUNIT_ASSERT(!detail::findAction<Actions::Refuse>(actions)->isNotRun);
+        const auto actions = request.handle(ForwardingEvents::ShutdownRequested{}, m_start);
+        CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions)->isNotExecuted);
     }
 
     void longPrefillIsProbedNotReplaced()
@@ -333,9 +336,9 @@
         (void)request.begin(m_start);
         int probes = 0;
         for (int ms = 0; ms < 4000; ms += 50) {
-            const auto actions = request.handle(Events::Tick{}, m_start + absl::Milliseconds(ms));
-            CPPUNIT_ASSERT(!detail::findAction<Actions::StartAttempt>(actions));
-            probes += detail::findAction<Actions::ProbeTarget>(actions) ? 1 : 0;
+            const auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(ms));
+            CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::StartAttempt>(actions));
+            probes += detail::findAction<ForwardingActions::ProbeTarget>(actions) ? 1 : 0;
         }
         CPPUNIT_ASSERT(probes >= 5);
     }
--- a/Tests/LibForwarding/TestForwardingTables.cpp
+++ b/Tests/LibForwarding/TestForwardingTables.cpp
@@ -3,9 +3,9 @@
 #include <LibCore/Random.h>
 #include <LibForwarding/EventSplitter.h>
 #include <LibForwarding/PeerReport.h>
-#include <LibForwarding/RepeatBudget.h>
 #include <LibForwarding/RouteTable.h>
-#include <LibForwarding/RouterRoster.h>
+#include <LibForwarding/RouterRegistry.h>
+#include <LibForwarding/ServiceRetryBudget.h>
 
 #include <absl/strings/str_cat.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -73,33 +73,33 @@
     {
         constexpr int steps = 600;
         constexpr int windowSteps = 100;
-        const RepeatLimits limits{.ratio = 0.8, .slack = 150, .window = absl::Seconds(10)};
-        RepeatBudget budget(limits);
+        const RetryLimits limits{.ratio = 0.8, .minRetriesPerWindow = 150, .window = absl::Seconds(10)};
+        ServiceRetryBudget budget(limits);
         std::vector<int> repeats(steps, 0);
         for (int step = 0; step < steps; ++step) {
             const auto now = absl::FromUnixSeconds(1000) + step * absl::Milliseconds(100);
             const bool isStorm = step % 150 > 75;
             if (!isStorm || step % 10 == 0)
-                budget.noteRequest(now);
+                budget.recordRequest(now);
             for (int n = 0; isStorm && n < 20; ++n)
-                repeats[static_cast<std::size_t>(step)] += budget.tryTakeRepeat(now) ? 1 : 0;
+                repeats[static_cast<std::size_t>(step)] += budget.tryAcquireRetry(now) ? 1 : 0;
         }
         for (int from = 0; from + windowSteps <= steps; ++from) {
             int sum = 0;
             for (int step = from; step < from + windowSteps; ++step)
                 sum += repeats[static_cast<std::size_t>(step)];
             // The most requests that any window holds are one a step.
-            CPPUNIT_ASSERT(sum <= limits.ratio * windowSteps + limits.slack);
+            CPPUNIT_ASSERT(sum <= limits.ratio * windowSteps + limits.minRetriesPerWindow);
         }
     }
 
     void budgetIsSharedByTheRouters()
     {
-        RepeatBudget budget({.ratio = 0, .slack = 150, .window = absl::Seconds(10)});
-        budget.setRouters(10, 10);
+        ServiceRetryBudget budget({.ratio = 0, .minRetriesPerWindow = 150, .window = absl::Seconds(10)});
+        budget.setRouterCounts(10, 10);
         int taken = 0;
         for (int n = 0; n < 100; ++n)
-            taken += budget.tryTakeRepeat(absl::FromUnixSeconds(1000)) ? 1 : 0;
+            taken += budget.tryAcquireRetry(absl::FromUnixSeconds(1000)) ? 1 : 0;
         CPPUNIT_ASSERT(taken > 5 && taken <= 15);
     }
 
@@ -168,43 +168,43 @@
 
     void silentRouterLeavesTheEntryPoints()
     {
-        RouterRoster roster;
-        roster.noteReport(member("r1", 1, RouterPhase::Serving), m_now);
+        RouterRegistry roster;
+        roster.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, roster.entryPoints(FailureDomain("d"), m_now).size());
-        const auto later = m_now + RouterRoster::silenceLimit + absl::Milliseconds(1);
+        const auto later = m_now + RouterRegistry::livenessTimeout + absl::Milliseconds(1);
         CPPUNIT_ASSERT(roster.entryPoints(FailureDomain("d"), later).empty());
     }
 
     void leavingRouterLeavesTheEntryPointsAtOnce()
     {
-        RouterRoster roster;
-        roster.noteReport(member("r1", 1, RouterPhase::Serving), m_now);
-        roster.noteReport(member("r1", 1, RouterPhase::Leaving), m_now);
+        RouterRegistry roster;
+        roster.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
+        roster.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
         CPPUNIT_ASSERT(roster.entryPoints(FailureDomain("d"), m_now).empty());
     }
 
     void earlierIncarnationIsIgnored()
     {
-        RouterRoster roster;
-        roster.noteReport(member("r1", 2, RouterPhase::Serving), m_now);
-        roster.noteReport(member("r1", 1, RouterPhase::Leaving), m_now);
+        RouterRegistry roster;
+        roster.recordReport(member("r1", 2, RouterPhase::Serving), m_now);
+        roster.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, roster.entryPoints(FailureDomain("d"), m_now).size());
         // Unless the later one has gone silent: the clock that numbers them may have been set back.
         const auto later = m_now + absl::Seconds(10);
-        CPPUNIT_ASSERT(roster.noteReport(member("r1", 1, RouterPhase::Serving), later));
+        CPPUNIT_ASSERT(roster.recordReport(member("r1", 1, RouterPhase::Serving), later));
     }
 
     void routersWithoutTheStoreDoNotWatchIt()
     {
-        RouterRoster roster;
+        RouterRegistry roster;
         const auto self = member("r3", 1, RouterPhase::Serving);
-        CPPUNIT_ASSERT(roster.shouldWatch(self, 1, m_now));
+        CPPUNIT_ASSERT(roster.shouldWatchStore(self, 1, m_now));
         auto other = member("r1", 1, RouterPhase::Serving);
-        roster.noteReport(other, m_now);
-        CPPUNIT_ASSERT(!roster.shouldWatch(self, 1, m_now));
+        roster.recordReport(other, m_now);
+        CPPUNIT_ASSERT(!roster.shouldWatchStore(self, 1, m_now));
         other.isStoreTrusted = false;
-        roster.noteReport(other, m_now);
-        CPPUNIT_ASSERT(roster.shouldWatch(self, 1, m_now));
+        roster.recordReport(other, m_now);
+        CPPUNIT_ASSERT(roster.shouldWatchStore(self, 1, m_now));
     }
 
 private:
@@ -223,7 +223,7 @@
         out.workspaces.push_back({.name = WorkspaceName("w"), .apiKeys = {"k1", "k2"}});
         return out;
     }
-    static RouterRoster::Member member(const std::string &id, std::uint64_t incarnation, RouterPhase phase)
+    static RouterRegistry::Member member(const std::string &id, std::uint64_t incarnation, RouterPhase phase)
     {
         return {.id = RouterId(id),
                 .domain = FailureDomain("d"),
@@ -236,9 +236,9 @@
     static PeerReport sampleReport()
     {
         PeerReport report;
-        report.router = member("r1", 17, RouterPhase::Leaving);
+        report.router = member("r1", 17, RouterPhase::Draining);
         report.targetsRevision = ObjectVersion(99);
-        report.loads[TargetId("t1")] = {.requests = 2, .unreadTokens = 8000, .memoryTokens = 18000};
+        report.loads[TargetId("t1")] = {.requests = 2, .pendingPrefillTokens = 8000, .memoryTokens = 18000};
         report.faults = {TargetId("t2")};
         report.gone = {TargetId("t3")};
         return report;
--- a/Tests/LibForwarding/TestTargetPool.cpp
+++ b/Tests/LibForwarding/TestTargetPool.cpp
@@ -55,7 +55,7 @@
     // same picture of the loads.
     void routersThatChooseTogetherDoNotHerd()
     {
-        m_pool.addLoad(id(0), {.requests = 0, .unreadTokens = 0, .memoryTokens = 900});
+        m_pool.addLoad(id(0), {.requests = 0, .pendingPrefillTokens = 0, .memoryTokens = 900});
         std::map<TargetId, int> counts;
         constexpr int routers = 90;
         for (int n = 0; n < routers; ++n)
@@ -70,23 +70,23 @@
         TargetLoads loads;
         for (int n = 0; n < targets - 1; ++n)
             loads[id(n)] = load();
-        m_pool.setReportedLoads(RouterId("other"), loads, m_now);
+        m_pool.setPeerLoads(RouterId("other"), loads, m_now);
         CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targets - 1));
     }
 
     void oldReportsDoNotCount()
     {
-        m_pool.setReportedLoads(RouterId("other"), {{id(0), load()}}, m_now);
+        m_pool.setPeerLoads(RouterId("other"), {{id(0), load()}}, m_now);
         const auto later = m_now + TargetPool::reportLifetime + absl::Milliseconds(1);
         CPPUNIT_ASSERT(m_pool.loadOf(id(0), later) == TargetLoad{});
     }
 
     void reportsAddUpOverRoutersAndReplaceEachOther()
     {
-        m_pool.setReportedLoads(RouterId("a"), {{id(0), load()}, {id(1), load()}}, m_now);
-        m_pool.setReportedLoads(RouterId("b"), {{id(0), load()}}, m_now);
+        m_pool.setPeerLoads(RouterId("a"), {{id(0), load()}, {id(1), load()}}, m_now);
+        m_pool.setPeerLoads(RouterId("b"), {{id(0), load()}}, m_now);
         CPPUNIT_ASSERT_EQUAL(2, m_pool.loadOf(id(0), m_now).requests);
-        m_pool.setReportedLoads(RouterId("a"), {{id(0), load()}}, m_now + absl::Seconds(1));
+        m_pool.setPeerLoads(RouterId("a"), {{id(0), load()}}, m_now + absl::Seconds(1));
         CPPUNIT_ASSERT_EQUAL(2, m_pool.loadOf(id(0), m_now).requests);
         CPPUNIT_ASSERT(m_pool.loadOf(id(1), m_now) == TargetLoad{});
         // Only the router that was silent is left out.
@@ -96,13 +96,13 @@
 
     void suspectIsTheLastChoice()
     {
-        m_pool.noteFault(id(0), TargetFault::Unreachable, m_now);
+        m_pool.recordFault(id(0), TargetFault::Unreachable, m_now);
         for (int n = 0; n < targets - 1; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(chosen != id(0));
             m_pool.addLoad(*chosen, load());
         }
-        TargetNeed last = need();
+        TargetRequirements last = need();
         for (int n = 1; n < targets; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(m_pool.choose(last, m_now) == id(0));
@@ -110,16 +110,16 @@
 
     void suspectComesBackByItself()
     {
-        m_pool.noteFault(id(0), TargetFault::Silent, m_now);
+        m_pool.recordFault(id(0), TargetFault::Unresponsive, m_now);
         CPPUNIT_ASSERT(m_pool.isSuspect(id(0), m_now));
-        CPPUNIT_ASSERT(!m_pool.isSuspect(id(0), m_now + TargetPool::firstSuspicion));
+        CPPUNIT_ASSERT(!m_pool.isSuspect(id(0), m_now + TargetPool::initialSuspicion));
     }
 
     void lostDomainIsLeftBeforeAllItsTargetsFailed()
     {
         // Targets 0, 3 and 6 share a domain.
-        m_pool.noteFault(id(0), TargetFault::Silent, m_now);
-        m_pool.noteFault(id(3), TargetFault::Silent, m_now);
+        m_pool.recordFault(id(0), TargetFault::Unresponsive, m_now);
+        m_pool.recordFault(id(3), TargetFault::Unresponsive, m_now);
         for (int n = 0; n < 2 * targets; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(m_pool.find(*chosen)->domain != domain(0));
@@ -129,12 +129,12 @@
 
     void replacedTargetIsNeverChosen()
     {
-        m_pool.noteFault(id(0), TargetFault::Gone, m_now);
-        TargetNeed last = need();
+        m_pool.recordFault(id(0), TargetFault::Gone, m_now);
+        TargetRequirements last = need();
         for (int n = 1; n < targets; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(!m_pool.choose(last, m_now + absl::Minutes(1)));
-        m_pool.noteGone(id(1));
+        m_pool.markGone(id(1));
         last.exclude = {id(0)};
         for (int n = 2; n < targets; ++n)
             last.exclude.push_back(id(n));
@@ -143,11 +143,11 @@
 
     void renewedTargetIsChosenAgain()
     {
-        m_pool.noteFault(id(0), TargetFault::Gone, m_now);
+        m_pool.recordFault(id(0), TargetFault::Gone, m_now);
         auto renewed = record(0);
         renewed.startedAtMs += 1;
         m_pool.upsert(renewed);
-        TargetNeed last = need();
+        TargetRequirements last = need();
         for (int n = 1; n < targets; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(m_pool.choose(last, m_now) == id(0));
@@ -158,7 +158,7 @@
         for (int n = 1; n < targets; ++n)
             m_pool.remove(id(n));
         auto leaving = record(0);
-        leaving.phase = TargetPhase::Leaving;
+        leaving.phase = ForwardingTargetPhase::Draining;
         m_pool.upsert(leaving);
         CPPUNIT_ASSERT(!m_pool.choose(need(), m_now));
     }
@@ -166,7 +166,7 @@
     void failingTargetGetsLess()
     {
         for (int n = 0; n < 10; ++n)
-            m_pool.noteFault(id(0), TargetFault::BadAnswer, m_now);
+            m_pool.recordFault(id(0), TargetFault::InvalidResponse, m_now);
         for (int n = 0; n < 2 * targets; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(chosen != id(0));
@@ -186,8 +186,8 @@
     void fullMemoryIsAvoided()
     {
         for (int n = 0; n < targets - 1; ++n)
-            m_pool.addLoad(id(n), {.requests = 0, .unreadTokens = 0, .memoryTokens = 85000});
-        m_pool.addLoad(id(targets - 1), {.requests = 5, .unreadTokens = 8000, .memoryTokens = 40000});
+            m_pool.addLoad(id(n), {.requests = 0, .pendingPrefillTokens = 0, .memoryTokens = 85000});
+        m_pool.addLoad(id(targets - 1), {.requests = 5, .pendingPrefillTokens = 8000, .memoryTokens = 40000});
         CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targets - 1));
     }
 
@@ -206,7 +206,7 @@
 
     static TargetId id(int n) { return TargetId(absl::StrCat("t", n)); }
     static FailureDomain domain(int n) { return FailureDomain(absl::StrCat("d", n % 3)); }
-    static TargetRecord record(int n)
+    static ForwardingTarget record(int n)
     {
         return {.id = id(n),
                 .service = ServiceName("s"),
@@ -215,16 +215,16 @@
                 .slots = 64,
                 .startedAtMs = 1};
     }
-    static TargetNeed need()
+    static TargetRequirements need()
     {
-        TargetNeed need;
+        TargetRequirements need;
         need.service = ServiceName("s");
         need.isModelService = true;
-        need.engine = {.memoryTokens = 88000, .slots = 64, .hasBackups = true};
+        need.engine = {.memoryTokens = 88000, .slots = 64, .supportsCopies = true};
         need.size = {.promptTokens = 8000, .maxOutputTokens = 1000};
         return need;
     }
-    static TargetLoad load() { return {.requests = 1, .unreadTokens = 8000, .memoryTokens = 9000}; }
+    static TargetLoad load() { return {.requests = 1, .pendingPrefillTokens = 8000, .memoryTokens = 9000}; }
 
     absl::Time m_now{absl::FromUnixSeconds(1000)};
     SeededRandom m_random{7};
--- a/Tests/LibGateway/FakeViews.h
+++ b/Tests/LibGateway/FakeViews.h
@@ -41,11 +41,11 @@
         out.version = ConfigVersion(object.content.get<std::uint64_t>());
         return out;
     }
-    ErrorOr<TargetRecord> target(const DirectoryObject &object) const override
+    ErrorOr<ForwardingTarget> target(const DirectoryObject &object) const override
     {
         if (!object.content.is_string())
             return makeError(ErrorCode::InvalidRequest, "no address");
-        TargetRecord out;
+        ForwardingTarget out;
         out.id = TargetId(object.name);
         out.address = object.content.get<std::string>();
         return out;
@@ -63,7 +63,10 @@
     {
         versions.push_back(table->version().value());
     }
-    void targetChanged(const TargetRecord &record) override { targets[record.id.value()] = record.address; }
+    void targetChanged(const ForwardingTarget &record) override
+    {
+        targets[record.id.value()] = record.address;
+    }
     void targetRemoved(const TargetId &id) override { targets.erase(id.value()); }
     void routerChanged(const RouterRecord &) override { }
 
--- a/Tests/LibGateway/TestViewRelay.cpp
+++ b/Tests/LibGateway/TestViewRelay.cpp
@@ -32,7 +32,7 @@
     }
 
     [[nodiscard]] ViewHost &host() { return m_host; }
-    [[nodiscard]] const RouterRoster::Member &member() const { return m_member; }
+    [[nodiscard]] const RouterRegistry::Member &member() const { return m_member; }
     // Calls are taken and never answered.
     void setMute(bool isMute) { m_isMute = isMute; }
     [[nodiscard]] int calls() const { return m_calls; }
@@ -51,7 +51,7 @@
 
     ViewHost m_host;
     ViewRelay m_relay;
-    RouterRoster::Member m_member;
+    RouterRegistry::Member m_member;
     std::unique_ptr<HttpServer> m_server;
     std::vector<std::shared_ptr<HttpServerConnection>> m_held;
     bool m_isMute{false};
--- a/Tests/Platform/TestAdapter.cpp
+++ b/Tests/Platform/TestAdapter.cpp
@@ -30,7 +30,7 @@
         CPPUNIT_ASSERT(request);
         CPPUNIT_ASSERT(request->id == RequestId("9c41"));
         CPPUNIT_ASSERT_EQUAL(std::string("secret"), request->apiKey);
-        CPPUNIT_ASSERT(request->patience == absl::Milliseconds(2500));
+        CPPUNIT_ASSERT(request->callerTimeout == absl::Milliseconds(2500));
         CPPUNIT_ASSERT(request->lastEvent == EventNumber(12));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1460}, request->size.promptTokens);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{80}, request->size.maxOutputTokens);
@@ -128,10 +128,10 @@
         const auto &route = configuration->routes.at(0);
         CPPUNIT_ASSERT(route.kind == RouteKind::ResumableStream);
         CPPUNIT_ASSERT(route.timeout == absl::Seconds(25));
-        CPPUNIT_ASSERT(route.longestGap == absl::Milliseconds(700));
+        CPPUNIT_ASSERT(route.maxEventGap == absl::Milliseconds(700));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, route.shares.size());
         CPPUNIT_ASSERT_EQUAL(5, route.maxAttempts);
-        CPPUNIT_ASSERT(configuration->services.at(0).engine.hasBackups);
+        CPPUNIT_ASSERT(configuration->services.at(0).engine.supportsCopies);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{88000}, configuration->services.at(0).engine.memoryTokens);
         CPPUNIT_ASSERT(configuration->limits.idleTimeout == absl::Seconds(15));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, configuration->workspaces.size());
--- a/Tests/Platform/TestGatewayOnPlatform.cpp
+++ b/Tests/Platform/TestGatewayOnPlatform.cpp
@@ -232,7 +232,7 @@
         settings.readinessListen = settings.callerListen;
         settings.peerListen = freeAddress();
         settings.store = m_store->address();
-        settings.repeats = {.ratio = 0.8, .slack = 150, .window = absl::Seconds(10)};
+        settings.repeats = {.ratio = 0.8, .minRetriesPerWindow = 150, .window = absl::Seconds(10)};
         m_address = settings.callerListen;
         m_client = std::move(*Platform::StoreClient::create(*m_context, settings.store, absl::Seconds(1)));
         auto gateway = Gateway::create(*m_context, settings,
