--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -24,7 +24,7 @@
 };
 
 // A call of a target that is no caller's request.
-struct TargetCall
+struct ControlRequest
 {
     std::string method;
     std::string path;
@@ -33,14 +33,14 @@
 
 enum class CopyOutcome { Made, Refused, Impossible };
 
-struct CopyAnswer
+struct CopyResponse
 {
     CopyOutcome outcome{CopyOutcome::Refused};
     std::string handle;
 };
 
 // One attempt as the target is told of it.
-struct TargetOrder
+struct AttemptParameters
 {
     TargetId target;
     absl::Duration timeLeft;
@@ -51,20 +51,20 @@
     // Address of the target that should keep a copy of the running generation; empty for none.
     std::string copyHolder;
     // Where to continue from; unset for reading the prompt.
-    std::optional<CopySource> continueFrom;
+    std::optional<CopySource> resumeFrom;
     // Zero is the most urgent.
     int priority{0};
 };
 
-enum class AnswerOrigin {
+enum class ResponseClass {
     // The target ran the request, and the answer is whole in its head.
-    Target,
+    Executed,
     // The target says that it did not run the request: it has no room.
-    NotRunFull,
+    RejectedFull,
     // Another target has taken the address; the request was not run.
-    NotRunReplaced,
+    RejectedReplaced,
     // Not an answer of this request's run: no proof of origin, or another request's id.
-    Foreign,
+    Untrusted,
 };
 
 struct EntryPointQuery
@@ -80,14 +80,15 @@
     // Errors: InvalidRequest when a field cannot be read.
     [[nodiscard]] virtual ErrorOr<CallerRequest> readRequest(const HttpFields &) const = 0;
     // Turns the caller's fields into those that the target gets.
-    virtual void writeTargetFields(HttpFields &, const CallerRequest &, const TargetOrder &) const = 0;
-    [[nodiscard]] virtual AnswerOrigin judgeAnswer(const HttpResponseHead &, const RequestId &) const = 0;
+    virtual void writeTargetFields(HttpFields &, const CallerRequest &, const AttemptParameters &) const = 0;
+    [[nodiscard]] virtual ResponseClass classifyResponse(const HttpResponseHead &,
+                                                         const RequestId &) const = 0;
     [[nodiscard]] virtual bool isEventStream(const HttpResponseHead &) const = 0;
     // Asks the target of a run to copy its memory to the holder, and the run to go on.
-    [[nodiscard]] virtual TargetCall makeCopyCall(const RequestId &,
-                                                  const std::string &holderAddress) const = 0;
-    [[nodiscard]] virtual CopyAnswer readCopyAnswer(const HttpResponse &) const = 0;
-    [[nodiscard]] virtual TargetCall dropCopyCall(const std::string &handle) const = 0;
+    [[nodiscard]] virtual ControlRequest makeCopyRequest(const RequestId &,
+                                                         const std::string &holderAddress) const = 0;
+    [[nodiscard]] virtual CopyResponse parseCopyResponse(const HttpResponse &) const = 0;
+    [[nodiscard]] virtual ControlRequest makeCopyReleaseRequest(const std::string &handle) const = 0;
     // Empty when the target is not one that asks for entry points.
     [[nodiscard]] virtual std::optional<EntryPointQuery>
     readEntryPointQuery(std::string_view target) const = 0;
--- a/Libraries/LibGateway/Directory.cpp
+++ b/Libraries/LibGateway/DirectoryView.cpp
@@ -1,6 +1,6 @@
 // Performs the follower's actions and decodes what it applies.
 
-#include <LibGateway/Directory.h>
+#include <LibGateway/DirectoryView.h>
 
 #include <LibPlatform/MonotonicClock.h>
 
@@ -15,8 +15,8 @@
 // How long the store keeps a watch waiting. A connection that has gone silent is noticed only after this, and
 // leaving targets must be known within two seconds. Watchers draw a part of it each, so that they do not all
 // go blind for the same time.
-constexpr absl::Duration watchWait = absl::Milliseconds(2500);
-constexpr double leastWatchShare = 0.4;
+constexpr absl::Duration maxWatchDuration = absl::Milliseconds(2500);
+constexpr double minWatchFraction = 0.4;
 
 ObjectMetadata stampOf(const DirectoryObject &object)
 {
@@ -64,7 +64,7 @@
 void DirectoryView::setWatching(bool isWatching)
 {
     m_isWatching = isWatching;
-    if (m_isWatching && std::exchange(m_callWaits, false))
+    if (m_isWatching && std::exchange(m_isWatchDeferred, false))
         perform(DirectorySyncActions::StartWatch{m_follower.revision()});
 }
 
@@ -76,7 +76,7 @@
     m_staged.clear();
     // What was removed before the first view is in no log.
     if (!hadView && m_follower.hasView())
-        m_changesFrom = m_follower.changeRevision();
+        m_changeLogStart = m_follower.changeRevision();
 }
 
 void DirectoryView::stage(const std::vector<DirectoryObject> &objects)
@@ -100,11 +100,12 @@
         });
     } else if (const auto *watch = std::get_if<DirectorySyncActions::StartWatch>(&action)) {
         if (!m_isWatching) {
-            m_callWaits = true;
+            m_isWatchDeferred = true;
             return;
         }
-        const double share = detail::leastWatchShare + (1 - detail::leastWatchShare) * m_random.fraction();
-        m_store.watch(m_kind, watch->after, share * detail::watchWait,
+        const double waitFraction =
+            detail::minWatchFraction + (1 - detail::minWatchFraction) * m_random.fraction();
+        m_store.watch(m_kind, watch->after, waitFraction * detail::maxWatchDuration,
                       [this](ErrorOr<DirectoryBatch> result) {
                           if (!result && result.error().code == ErrorCode::Conflict) {
                               handle(DirectorySyncEvents::RevisionExpired{});
@@ -119,7 +120,7 @@
     } else if (const auto *it = std::get_if<DirectorySyncActions::Apply>(&action)) {
         apply(it->name);
     } else if (const auto *it = std::get_if<DirectorySyncActions::Remove>(&action)) {
-        removed(it->name);
+        applyRemoval(it->name);
     } else if (const auto *it = std::get_if<DirectorySyncActions::SetTimer>(&action)) {
         m_timer.expires_after(
             absl::ToChronoNanoseconds(std::max(it->at - monotonicNow(), absl::ZeroDuration())));
@@ -145,17 +146,17 @@
     auto staged = m_staged.extract(name);
     if (!staged)
         return;
-    remember(name);
+    recordChange(name);
     auto &object = m_objects[name];
     object = std::move(staged.mapped());
-    const auto report = [&](const Error &error) {
+    const auto logUnusable = [&](const Error &error) {
         m_log.write("unusable_object", {{"kind", kindLabel()}, {"name", name}, {"reason", error.detail}},
                     monotonicNow());
     };
     if (m_kind == DirectoryKind::Configuration) {
         auto configuration = m_decoder.configuration(object);
         if (!configuration)
-            return report(configuration.error());
+            return logUnusable(configuration.error());
         // Versions only go up within one life of the process.
         if (configuration->version <= m_configVersion)
             return;
@@ -165,43 +166,43 @@
         if (auto record = m_decoder.target(object)) {
             m_listener.targetChanged(*record);
         } else {
-            report(record.error());
+            logUnusable(record.error());
             m_listener.targetRemoved(TargetId(name));
         }
     } else {
         if (auto record = m_decoder.router(object))
             m_listener.routerChanged(*record);
         else
-            report(record.error());
+            logUnusable(record.error());
     }
 }
 
-void DirectoryView::removed(const std::string &name)
+void DirectoryView::applyRemoval(const std::string &name)
 {
     m_objects.erase(name);
-    remember(name);
+    recordChange(name);
     if (m_kind == DirectoryKind::Targets)
         m_listener.targetRemoved(TargetId(name));
 }
 
-void DirectoryView::remember(const std::string &name)
+void DirectoryView::recordChange(const std::string &name)
 {
-    m_changes.push_back({m_follower.changeRevision(), name});
-    if (m_changes.size() > rememberedChanges) {
-        m_changesFrom = m_changes.front().revision;
-        m_changes.pop_front();
+    m_changeLog.push_back({m_follower.changeRevision(), name});
+    if (m_changeLog.size() > changeLogCapacity) {
+        m_changeLogStart = m_changeLog.front().revision;
+        m_changeLog.pop_front();
     }
 }
 
 nlohmann::json DirectoryView::changesAfter(ObjectVersion after) const
 {
-    const bool isComplete = after.value() == 0 || after < m_changesFrom;
+    const bool isComplete = after.value() == 0 || after < m_changeLogStart;
     std::set<std::string> names;
     if (isComplete) {
         for (const auto &[name, object] : m_objects)
             names.insert(name);
     } else {
-        for (const auto &it : m_changes) {
+        for (const auto &it : m_changeLog) {
             if (it.revision > after)
                 names.insert(it.name);
         }
@@ -220,24 +221,24 @@
             {"objects", std::move(objects)}};
 }
 
-ErrorOr<void> DirectoryView::takeRelayed(const nlohmann::json &json)
+ErrorOr<void> DirectoryView::mergePeerView(const nlohmann::json &json)
 {
-    const auto bad = [] { return makeError(ErrorCode::InvalidRequest, "unreadable relayed view"); };
+    const auto malformed = [] { return makeError(ErrorCode::InvalidRequest, "unreadable relayed view"); };
     if (!json.is_object() || !json.contains("revision") || !json["revision"].is_number_unsigned()
         || !json.contains("objects") || !json["objects"].is_array() || !json.contains("complete")
         || !json["complete"].is_boolean())
-        return bad();
+        return malformed();
     const ObjectVersion revision(json["revision"].get<std::uint64_t>());
     std::vector<DirectoryObject> objects;
     for (const auto &it : json["objects"]) {
         if (!it.is_object() || !it.contains("name") || !it["name"].is_string())
-            return bad();
+            return malformed();
         if (it.value("removed", nlohmann::json()) == true) {
             objects.push_back({it["name"].get<std::string>(), revision, {}, true});
             continue;
         }
         if (!it.contains("revision") || !it["revision"].is_number_unsigned() || !it.contains("content"))
-            return bad();
+            return malformed();
         objects.push_back({it["name"].get<std::string>(), ObjectVersion(it["revision"].get<std::uint64_t>()),
                            it["content"], false});
     }
--- a/Libraries/LibGateway/Directory.h
+++ b/Libraries/LibGateway/DirectoryView.h
@@ -6,7 +6,7 @@
 #include <LibForwarding/DirectorySynchronizer.h>
 #include <LibForwarding/RouteTable.h>
 #include <LibGateway/DirectoryStore.h>
-#include <LibGateway/GatewayParts.h>
+#include <LibGateway/GatewayContext.h>
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -35,7 +35,7 @@
 public:
     // Changes that are remembered for other routers. Source: twice the engines of the largest site of today,
     // so that the loss and return of a whole domain fits.
-    static constexpr std::size_t rememberedChanges = 400;
+    static constexpr std::size_t changeLogCapacity = 400;
 
     DirectoryView(DirectoryKind, boost::asio::io_context &, DirectoryStore &, const DirectoryDecoder &,
                   DirectoryListener &, StructuredLog &, RandomSource &);
@@ -53,15 +53,15 @@
     // reach back so far.
     [[nodiscard]] nlohmann::json changesAfter(ObjectVersion) const;
     // Takes another router's view where it is newer. Errors: InvalidRequest.
-    [[nodiscard]] ErrorOr<void> takeRelayed(const nlohmann::json &);
+    [[nodiscard]] ErrorOr<void> mergePeerView(const nlohmann::json &);
 
 private:
     void handle(const DirectorySyncEvent &);
     void perform(const DirectorySyncAction &);
     void stage(const std::vector<DirectoryObject> &);
     void apply(const std::string &name);
-    void removed(const std::string &name);
-    void remember(const std::string &name);
+    void applyRemoval(const std::string &name);
+    void recordChange(const std::string &name);
     [[nodiscard]] std::string kindLabel() const;
 
     DirectoryKind m_kind;
@@ -81,12 +81,12 @@
         ObjectVersion revision;
         std::string name;
     };
-    std::deque<Change> m_changes;
+    std::deque<Change> m_changeLog;
     // Changes up to this revision are not in the log.
-    ObjectVersion m_changesFrom;
+    ObjectVersion m_changeLogStart;
     ConfigVersion m_configVersion;
     bool m_isWatching{true};
-    bool m_callWaits{false};
+    bool m_isWatchDeferred{false};
 };
 
 } // namespace Wisteria
--- a/Libraries/LibGateway/ForwardSession.cpp
+++ b/Libraries/LibGateway/ForwardSession.cpp
@@ -16,11 +16,11 @@
 
 // A stream without an event for this long is lost at once when another request finds its target silent.
 // Source: events come each 30 to 70 ms on a calm engine.
-constexpr absl::Duration doubtfulSilence = absl::Milliseconds(150);
+constexpr absl::Duration suspectStreamSilence = absl::Milliseconds(150);
 // A connect attempt that is lost on the way is no proof; the second one in a row is.
-constexpr int probesBeforeLost = 2;
+constexpr int maxProbeAttempts = 2;
 // Part of a prompt that an engine still reads when it goes on from a copy.
-constexpr double unreadShareOfCopy = 0.1;
+constexpr double prefillFractionFromCopy = 0.1;
 
 std::string_view routeKindName(RouteKind kind)
 {
@@ -37,7 +37,7 @@
     return "unknown";
 }
 
-ForwardingParameters termsOf(const RoutedRequest &routed)
+ForwardingParameters makeForwardingTerms(const RoutedRequest &routed)
 {
     ForwardingParameters terms;
     terms.kind = routed.route->kind;
@@ -56,15 +56,15 @@
 
 void setRetryAfter(HttpResponse &response, absl::Duration after, RandomSource &random)
 {
-    const double spread = 1 - retrySpread * random.fraction();
-    response.head.fields.set("Retry-After", absl::StrCat(absl::ToDoubleSeconds(after * spread)));
+    const double jitterFactor = 1 - retryJitter * random.fraction();
+    response.head.fields.set("Retry-After", absl::StrCat(absl::ToDoubleSeconds(after * jitterFactor)));
 }
 
-ForwardSession::ForwardSession(GatewayParts &parts, std::shared_ptr<HttpServerConnection> caller,
+ForwardSession::ForwardSession(GatewayContext &gatewayContext, std::shared_ptr<HttpServerConnection> caller,
                                RoutedRequest routed, RetryGate &gate, absl::Time now)
-    : m_parts(parts), m_caller(std::move(caller)), m_routed(std::move(routed)),
-      m_decisions(detail::termsOf(m_routed), gate, now), m_timer(parts.context), m_arrivedAt(now),
-      m_copyTimer(parts.context)
+    : m_gatewayContext(gatewayContext), m_caller(std::move(caller)), m_routed(std::move(routed)),
+      m_forwardedRequest(detail::makeForwardingTerms(m_routed), gate, now), m_timer(gatewayContext.context),
+      m_arrivedAt(now), m_copyTimer(gatewayContext.context)
 {
 }
 
@@ -81,7 +81,7 @@
         self->handle(ForwardingEvents::CallerDisconnected{});
         self->finish("caller_left", 0);
     });
-    perform(m_decisions.begin(m_arrivedAt));
+    perform(m_forwardedRequest.begin(m_arrivedAt));
 }
 
 void ForwardSession::stopNow()
@@ -92,7 +92,7 @@
 void ForwardSession::targetFailed(const TargetId &id, TargetFault fault)
 {
     if (fault != TargetFault::ConnectionLost)
-        handleCopy(KvCopyEvents::TargetLost{id});
+        handleCopyEvent(KvCopyEvents::TargetLost{id});
     if (m_target != id || !m_attempt)
         return;
     if (fault == TargetFault::Gone) {
@@ -107,12 +107,12 @@
         if (self->m_attempt.get() == attempt)
             self->perform(ForwardingActions::ProbeTarget{});
     };
-    boost::asio::post(m_parts.context, probe);
+    boost::asio::post(m_gatewayContext.context, probe);
 }
 
 void ForwardSession::handle(const ForwardingEvent &event)
 {
-    perform(m_decisions.handle(event, monotonicNow()));
+    perform(m_forwardedRequest.handle(event, monotonicNow()));
 }
 
 void ForwardSession::perform(const ForwardingActionList &actions)
@@ -121,49 +121,49 @@
         std::visit([this](const auto &action) { perform(action); }, it);
 }
 
-TargetRequirements ForwardSession::need() const
+TargetRequirements ForwardSession::requirements() const
 {
-    TargetRequirements need;
-    need.service = m_routed.service->name;
-    need.isModelService = m_routed.service->isModelService;
-    need.engine = m_routed.service->engine;
-    need.size = m_routed.request.size;
-    need.exclude = m_tried;
-    return need;
+    TargetRequirements requirements;
+    requirements.service = m_routed.service->name;
+    requirements.isModelService = m_routed.service->isModelService;
+    requirements.engine = m_routed.service->engine;
+    requirements.size = m_routed.request.size;
+    requirements.exclude = m_triedTargets;
+    return requirements;
 }
 
 void ForwardSession::perform(const ForwardingActions::StartAttempt &action)
 {
-    const auto source = action.fromCopy ? usableCopy() : std::nullopt;
+    const auto source = action.fromCopy ? findUsableCopy() : std::nullopt;
     const auto holder = m_copies.copy();
     releaseLoad();
-    if (!source && !canEnd(action)) {
+    if (!source && !canFinishInTime(action)) {
         handle(ForwardingEvents::NoTimeLeft{});
         return;
     }
-    const auto target =
-        source ? std::optional(holder->holder) : m_parts.targets.choose(need(), monotonicNow());
-    const auto *record = target ? m_parts.targets.find(*target) : nullptr;
+    const auto target = source ? std::optional(holder->holder)
+                               : m_gatewayContext.targets.choose(requirements(), monotonicNow());
+    const auto *record = target ? m_gatewayContext.targets.find(*target) : nullptr;
     if (!record) {
         handle(ForwardingEvents::NoTarget{});
         return;
     }
-    m_tried.push_back(*target);
+    m_triedTargets.push_back(*target);
     sendTo(*record, action, source);
 }
 
-bool ForwardSession::canEnd(const ForwardingActions::StartAttempt &action)
+bool ForwardSession::canFinishInTime(const ForwardingActions::StartAttempt &action)
 {
     // What the caller holds already says that the answer is shorter than its guess.
-    if (!m_routed.service->isModelService || m_decisions.lastEvent())
+    if (!m_routed.service->isModelService || m_forwardedRequest.lastEvent())
         return true;
-    const auto backlog = m_parts.targets.backlog(need(), monotonicNow());
+    const auto backlog = m_gatewayContext.targets.backlog(requirements(), monotonicNow());
     // Without a sound target, the choice falls on a doubtful one, or there is none.
     if (backlog == absl::InfiniteDuration())
         return true;
-    const bool canEnd = DeadlineAdmission::canFinishInTime(
+    const bool canFinishInTime = DeadlineAdmission::canFinishInTime(
         {.size = m_routed.request.size, .backlog = backlog, .timeLeft = action.timeLeft});
-    if (!canEnd) {
+    if (!canFinishInTime) {
         log("no_time_left",
             {{"number", action.number},
              {"prompt_tokens", m_routed.request.size.promptTokens},
@@ -171,39 +171,39 @@
              {"backlog_ms", absl::ToInt64Milliseconds(backlog)},
              {"time_left_ms", absl::ToInt64Milliseconds(action.timeLeft)}});
     }
-    return canEnd;
+    return canFinishInTime;
 }
 
 void ForwardSession::sendTo(const ForwardingTarget &record, const ForwardingActions::StartAttempt &action,
                             const std::optional<CopySource> &source)
 {
     const auto now = monotonicNow();
-    const auto load = m_parts.targets.loadOf(record.id, now);
-    const auto wait = m_parts.targets.expectedWait(record.id, need(), now);
+    const auto load = m_gatewayContext.targets.loadOf(record.id, now);
+    const auto wait = m_gatewayContext.targets.expectedWait(record.id, requirements(), now);
     handle(ForwardingEvents::AttemptSent{wait + DeadlineAdmission::prefillTime(m_routed.request.size)});
     m_target = record.id;
     m_targetAddress = record.address;
     m_isFromCopy = source.has_value();
-    placeLoad(record.id, m_isFromCopy);
-    handleCopy(KvCopyEvents::AttemptStarted{m_copyHolder});
-    TargetOrder order;
-    order.target = record.id;
-    order.timeLeft = action.timeLeft;
+    reserveLoad(record.id, m_isFromCopy);
+    handleCopyEvent(KvCopyEvents::AttemptStarted{m_copyHolder});
+    AttemptParameters parameters;
+    parameters.target = record.id;
+    parameters.timeLeft = action.timeLeft;
     if (m_routed.workspace)
-        order.workspace = m_routed.workspace->name;
-    order.lastEvent = action.lastEvent;
-    order.continueFrom = source;
-    order.priority = m_routed.route->priority;
+        parameters.workspace = m_routed.workspace->name;
+    parameters.lastEvent = action.lastEvent;
+    parameters.resumeFrom = source;
+    parameters.priority = m_routed.route->priority;
     if (m_copyHolder) {
-        if (const auto *holder = m_parts.targets.find(*m_copyHolder))
-            order.copyHolder = holder->address;
+        if (const auto *holder = m_gatewayContext.targets.find(*m_copyHolder))
+            parameters.copyHolder = holder->address;
     }
     HttpFields fields = m_routed.message.base();
     removeConnectionFields(fields);
-    m_parts.dialect.writeTargetFields(fields, m_routed.request, order);
+    m_gatewayContext.dialect.writeTargetFields(fields, m_routed.request, parameters);
     const auto method = m_routed.message.method_string();
     const auto target = m_routed.message.target();
-    m_attempt = std::make_shared<TargetAttempt>(m_parts.dialect, m_routed.request.id, *this);
+    m_attempt = std::make_shared<TargetAttempt>(m_gatewayContext.dialect, m_routed.request.id, *this);
     m_attempt->setLastEvent(action.lastEvent);
     log("attempt",
         {{"number", action.number},
@@ -217,9 +217,9 @@
          {"load_unread", load.pendingPrefillTokens},
          {"load_memory", load.memoryTokens},
          {"time_left_ms", absl::ToInt64Milliseconds(action.timeLeft)}});
-    auto connection = m_parts.connections.take(record, now);
+    auto connection = m_gatewayContext.connections.take(record, now);
     if (!connection) {
-        boost::asio::post(m_parts.context, [self = shared_from_this(), attempt = m_attempt.get()] {
+        boost::asio::post(m_gatewayContext.context, [self = shared_from_this(), attempt = m_attempt.get()] {
             if (self->m_attempt.get() == attempt)
                 self->attemptNotRun(TargetFault::Unreachable, false);
         });
@@ -231,37 +231,38 @@
                      TargetConnections::connectTimeout);
 }
 
-void ForwardSession::placeLoad(const TargetId &target, bool fromCopy)
+void ForwardSession::reserveLoad(const TargetId &target, bool fromCopy)
 {
     const auto &size = m_routed.request.size;
     m_load = {.requests = 1,
-              .pendingPrefillTokens = fromCopy ? static_cast<std::int64_t>(
-                                          detail::unreadShareOfCopy * static_cast<double>(size.promptTokens))
-                                               : size.promptTokens,
+              .pendingPrefillTokens = fromCopy
+                  ? static_cast<std::int64_t>(detail::prefillFractionFromCopy
+                                              * static_cast<double>(size.promptTokens))
+                  : size.promptTokens,
               .memoryTokens = size.memoryTokens()};
-    m_parts.targets.addLoad(target, m_load);
+    m_gatewayContext.targets.addLoad(target, m_load);
     if (m_routed.route->kind == RouteKind::ResumableStream && m_routed.service->engine.supportsCopies)
-        placeCopyLoad(m_parts.targets.chooseCopyHolder(need(), target, monotonicNow()));
-    m_parts.loadChanged();
+        reserveCopyLoad(m_gatewayContext.targets.chooseCopyHolder(requirements(), target, monotonicNow()));
+    m_gatewayContext.loadChanged();
 }
 
-void ForwardSession::markRead()
+void ForwardSession::markPromptProcessed()
 {
     if (m_load.pendingPrefillTokens == 0 || !m_target)
         return;
-    m_parts.targets.subtractLoad(*m_target,
-                                 {.pendingPrefillTokens = std::exchange(m_load.pendingPrefillTokens, 0)});
-    m_parts.loadChanged();
+    m_gatewayContext.targets.subtractLoad(
+        *m_target, {.pendingPrefillTokens = std::exchange(m_load.pendingPrefillTokens, 0)});
+    m_gatewayContext.loadChanged();
 }
 
 void ForwardSession::releaseLoad()
 {
     if (!m_target)
         return;
-    m_parts.targets.subtractLoad(*m_target, std::exchange(m_load, {}));
-    placeCopyLoad(std::nullopt);
+    m_gatewayContext.targets.subtractLoad(*m_target, std::exchange(m_load, {}));
+    reserveCopyLoad(std::nullopt);
     m_target.reset();
-    m_parts.loadChanged();
+    m_gatewayContext.loadChanged();
 }
 
 void ForwardSession::noteFault(TargetFault fault)
@@ -269,13 +270,13 @@
     if (!m_target)
         return;
     const auto target = *m_target;
-    m_parts.targets.recordFault(target, fault, monotonicNow());
-    m_parts.metrics.count("target_faults_total",
-                          absl::StrCat("fault=\"", abslView(targetFaultName(fault)), "\""));
+    m_gatewayContext.targets.recordFault(target, fault, monotonicNow());
+    m_gatewayContext.metrics.increment("target_faults_total",
+                                       absl::StrCat("fault=\"", abslView(targetFaultName(fault)), "\""));
     log("target_fault", {{"target", target.value()}, {"fault", targetFaultName(fault)}});
-    if (!m_lostAt)
-        m_lostAt = monotonicNow();
-    m_parts.targetFailed(target, fault);
+    if (!m_interruptedAt)
+        m_interruptedAt = monotonicNow();
+    m_gatewayContext.targetFailed(target, fault);
 }
 
 void ForwardSession::attemptNotRun(TargetFault fault, bool wasRefused)
@@ -288,7 +289,7 @@
         log("target_full", {{"target", m_target ? m_target->value() : ""}, {"copy_missing", isCopyMissing}});
     if (isCopyMissing && m_target) {
         // The target is sound; it may read the prompt anew.
-        std::erase(m_tried, *m_target);
+        std::erase(m_triedTargets, *m_target);
     }
     handle(ForwardingEvents::AttemptNotExecuted{
         .fault = fault, .wasRefused = wasRefused, .isCopyMissing = isCopyMissing});
@@ -298,31 +299,31 @@
 {
     if (!m_hasStreamHead) {
         m_hasStreamHead = true;
-        m_answer.head = head;
-        removeConnectionFields(m_answer.head.fields);
+        m_response.head = head;
+        removeConnectionFields(m_response.head.fields);
     }
     handle(ForwardingEvents::StreamOpened{});
 }
 
-void ForwardSession::eventsArrived(const std::vector<RawEvent> &events)
+void ForwardSession::eventsReceived(const std::vector<RawEvent> &events)
 {
-    markRead();
+    markPromptProcessed();
     if (m_target)
-        m_parts.targets.recordSuccess(*m_target);
-    if (m_lostAt && m_decisions.hasResponseStarted()) {
-        m_parts.metrics.observe("resume_seconds", "", monotonicNow() - *m_lostAt);
+        m_gatewayContext.targets.recordSuccess(*m_target);
+    if (m_interruptedAt && m_forwardedRequest.hasResponseStarted()) {
+        m_gatewayContext.metrics.observe("resume_seconds", "", monotonicNow() - *m_interruptedAt);
         log("resumed",
             {{"target", m_target ? m_target->value() : ""},
              {"from_copy", m_isFromCopy},
-             {"after_ms", absl::ToInt64Milliseconds(monotonicNow() - *m_lostAt)}});
+             {"after_ms", absl::ToInt64Milliseconds(monotonicNow() - *m_interruptedAt)}});
     }
-    m_lostAt.reset();
+    m_interruptedAt.reset();
     const auto now = monotonicNow();
     if (m_lastEventAt)
         m_longestGap = std::max(m_longestGap, now - *m_lastEventAt);
     m_lastEventAt = now;
     handle(ForwardingEvents::EventsReceived{*events.back().number});
-    handleCopy(KvCopyEvents::FirstEventReceived{});
+    handleCopyEvent(KvCopyEvents::FirstEventReceived{});
     std::string bytes;
     for (const auto &it : events)
         bytes += it.bytes;
@@ -334,18 +335,18 @@
     handle(ForwardingEvents::StreamCompleted{});
 }
 
-void ForwardSession::answerArrived(HttpResponse response)
+void ForwardSession::responseReceived(HttpResponse response)
 {
     if (m_target) {
         if (response.head.status < 500)
-            m_parts.targets.recordSuccess(*m_target);
+            m_gatewayContext.targets.recordSuccess(*m_target);
         else
-            m_parts.targets.recordFault(*m_target, TargetFault::InvalidResponse, monotonicNow());
+            m_gatewayContext.targets.recordFault(*m_target, TargetFault::InvalidResponse, monotonicNow());
     }
     const int status = response.head.status;
-    if (!m_decisions.hasResponseStarted()) {
-        m_answer = std::move(response);
-        removeConnectionFields(m_answer.head.fields);
+    if (!m_forwardedRequest.hasResponseStarted()) {
+        m_response = std::move(response);
+        removeConnectionFields(m_response.head.fields);
     }
     handle(ForwardingEvents::ResponseReceived{status});
 }
@@ -366,30 +367,30 @@
 
 void ForwardSession::perform(const ForwardingActions::StartResponse &)
 {
-    m_parts.metrics.observe("first_event_seconds", "", monotonicNow() - m_arrivedAt);
+    m_gatewayContext.metrics.observe("first_event_seconds", "", monotonicNow() - m_arrivedAt);
     log("answering",
         {{"target", m_target ? m_target->value() : ""},
          {"after_ms", absl::ToInt64Milliseconds(monotonicNow() - m_arrivedAt)}});
-    m_caller->openStream(m_answer.head);
+    m_caller->openStream(m_response.head);
 }
 
 void ForwardSession::perform(const ForwardingActions::CompleteStream &)
 {
     m_caller->endStream();
-    finish("complete", m_answer.head.status);
+    finish("complete", m_response.head.status);
 }
 
 void ForwardSession::perform(const ForwardingActions::SendResponse &)
 {
-    m_caller->respond(m_answer);
-    finish("complete", m_answer.head.status);
+    m_caller->respond(m_response);
+    finish("complete", m_response.head.status);
 }
 
 void ForwardSession::perform(const ForwardingActions::Refuse &action)
 {
     auto response = makeResponse(action.status, "text/plain", "");
     if (action.retryAfter)
-        setRetryAfter(response, *action.retryAfter, m_parts.random);
+        setRetryAfter(response, *action.retryAfter, m_gatewayContext.random);
     m_caller->respond(response);
     finish(refusalReasonName(action.reason), action.status);
 }
@@ -402,7 +403,7 @@
 
 void ForwardSession::perform(const ForwardingActions::SetTimer &action)
 {
-    if (m_decisions.isFinished())
+    if (m_forwardedRequest.isFinished())
         return;
     m_timer.expires_after(
         absl::ToChronoNanoseconds(std::max(action.at - monotonicNow(), absl::ZeroDuration())));
@@ -416,55 +417,57 @@
 {
     if (!m_target || !m_attempt)
         return;
-    const auto *record = m_parts.targets.find(*m_target);
+    const auto *record = m_gatewayContext.targets.find(*m_target);
     if (!record)
         return;
     const auto probe = std::make_shared<std::function<void(int)>>();
     *probe = [weak = weak_from_this(), attempt = std::weak_ptr<TargetAttempt>(m_attempt), record = *record,
               self = std::weak_ptr<std::function<void(int)>>(probe)](int number) {
         const auto session = weak.lock();
-        const auto again = self.lock();
-        if (!session || !again)
+        const auto retry = self.lock();
+        if (!session || !retry)
             return;
-        session->m_parts.connections.probe(record, [session, attempt, again, number](ProbeResult result) {
-            const auto running = attempt.lock();
-            if (result == ProbeResult::Accepts || !running || session->m_attempt != running)
-                return;
-            if (result == ProbeResult::Silent && number < detail::probesBeforeLost) {
-                (*again)(number + 1);
-                return;
-            }
-            running->cancel();
-            session->attemptLost(result == ProbeResult::Refuses ? TargetFault::Gone
-                                                                : TargetFault::Unresponsive);
-        });
+        session->m_gatewayContext.connections.probe(
+            record, [session, attempt, retry, number](ProbeResult result) {
+                const auto running = attempt.lock();
+                if (result == ProbeResult::Connected || !running || session->m_attempt != running)
+                    return;
+                if (result == ProbeResult::TimedOut && number < detail::maxProbeAttempts) {
+                    (*retry)(number + 1);
+                    return;
+                }
+                running->cancel();
+                session->attemptLost(result == ProbeResult::Refused ? TargetFault::Gone
+                                                                    : TargetFault::Unresponsive);
+            });
     };
     (*probe)(1);
 }
 
 void ForwardSession::finish(std::string_view outcome, int status)
 {
-    if (std::exchange(m_isLogged, true))
+    if (std::exchange(m_isOutcomeLogged, true))
         return;
     m_timer.cancel();
     m_copyTimer.cancel();
-    handleCopy(KvCopyEvents::AttemptEnded{});
+    handleCopyEvent(KvCopyEvents::AttemptEnded{});
     releaseLoad();
     m_attempt.reset();
-    m_parts.metrics.count("requests_total",
-                          absl::StrCat("kind=\"", abslView(detail::routeKindName(m_routed.route->kind)),
-                                       "\",outcome=\"", abslView(outcome), "\""));
-    m_parts.metrics.observe(
+    m_gatewayContext.metrics.increment("requests_total",
+                                       absl::StrCat("kind=\"",
+                                                    abslView(detail::routeKindName(m_routed.route->kind)),
+                                                    "\",outcome=\"", abslView(outcome), "\""));
+    m_gatewayContext.metrics.observe(
         "request_seconds",
         absl::StrCat("kind=\"", abslView(detail::routeKindName(m_routed.route->kind)), "\""),
         monotonicNow() - m_arrivedAt);
     log("finished",
         {{"outcome", outcome},
          {"status", status},
-         {"attempts", m_tried.size()},
+         {"attempts", m_triedTargets.size()},
          {"longest_gap_ms", absl::ToInt64Milliseconds(m_longestGap)},
          {"after_ms", absl::ToInt64Milliseconds(monotonicNow() - m_arrivedAt)}});
-    m_parts.sessionEnded(shared_from_this());
+    m_gatewayContext.sessionEnded(shared_from_this());
 }
 
 void ForwardSession::log(std::string_view event, nlohmann::json fields) const
@@ -472,7 +475,7 @@
     fields["request"] = m_routed.request.id.value();
     fields["route"] = m_routed.route->name;
     fields["config_version"] = m_routed.table->version().value();
-    m_parts.log.write(event, std::move(fields), monotonicNow());
+    m_gatewayContext.log.write(event, std::move(fields), monotonicNow());
 }
 
 } // namespace Wisteria
--- a/Libraries/LibGateway/ForwardSession.h
+++ b/Libraries/LibGateway/ForwardSession.h
@@ -5,7 +5,7 @@
 #include <LibForwarding/ForwardedRequest.h>
 #include <LibForwarding/KvCopyManager.h>
 #include <LibForwarding/RouteTable.h>
-#include <LibGateway/GatewayParts.h>
+#include <LibGateway/GatewayContext.h>
 #include <LibGateway/TargetAttempt.h>
 #include <LibNet/HttpServer.h>
 
@@ -17,7 +17,7 @@
 namespace Wisteria {
 
 // Callers that are refused together come back spread over the last part of the time.
-inline constexpr double retrySpread = 0.4;
+inline constexpr double retryJitter = 0.4;
 
 // Sets the field that tells a refused caller when to come back.
 void setRetryAfter(HttpResponse &, absl::Duration after, RandomSource &);
@@ -37,7 +37,7 @@
 class ForwardSession final : public AttemptListener, public std::enable_shared_from_this<ForwardSession>
 {
 public:
-    ForwardSession(GatewayParts &, std::shared_ptr<HttpServerConnection>, RoutedRequest, RetryGate &,
+    ForwardSession(GatewayContext &, std::shared_ptr<HttpServerConnection>, RoutedRequest, RetryGate &,
                    absl::Time now);
     ~ForwardSession() override;
 
@@ -46,13 +46,13 @@
     void stopNow();
     // Another router or request found the target at fault.
     void targetFailed(const TargetId &, TargetFault);
-    [[nodiscard]] bool isFinished() const { return m_decisions.isFinished(); }
+    [[nodiscard]] bool isFinished() const { return m_forwardedRequest.isFinished(); }
 
     void attemptNotRun(TargetFault, bool wasRefused) override;
     void streamOpened(const HttpResponseHead &) override;
-    void eventsArrived(const std::vector<RawEvent> &) override;
+    void eventsReceived(const std::vector<RawEvent> &) override;
     void streamEnded() override;
-    void answerArrived(HttpResponse) override;
+    void responseReceived(HttpResponse) override;
     void attemptLost(TargetFault) override;
 
 private:
@@ -68,30 +68,30 @@
     void perform(const ForwardingActions::SetTimer &);
     void perform(const ForwardingActions::ProbeTarget &);
 
-    [[nodiscard]] TargetRequirements need() const;
+    [[nodiscard]] TargetRequirements requirements() const;
     // False when a prompt would be read for a caller who will have left by then.
-    [[nodiscard]] bool canEnd(const ForwardingActions::StartAttempt &);
+    [[nodiscard]] bool canFinishInTime(const ForwardingActions::StartAttempt &);
     // The copy from which the next attempt can go on.
-    [[nodiscard]] std::optional<CopySource> usableCopy() const;
+    [[nodiscard]] std::optional<CopySource> findUsableCopy() const;
     void sendTo(const ForwardingTarget &, const ForwardingActions::StartAttempt &,
                 const std::optional<CopySource> &);
-    void handleCopy(const KvCopyEvent &);
+    void handleCopyEvent(const KvCopyEvent &);
     void perform(const KvCopyActions::CreateCopy &);
     void perform(const KvCopyActions::DeleteCopy &);
     void perform(const KvCopyActions::SetTimer &);
-    void placeCopyLoad(const std::optional<TargetId> &holder);
+    void reserveCopyLoad(const std::optional<TargetId> &holder);
     // Adds the request's load to its targets, or takes it back.
-    void placeLoad(const TargetId &, bool fromCopy);
-    void markRead();
+    void reserveLoad(const TargetId &, bool fromCopy);
+    void markPromptProcessed();
     void releaseLoad();
     void noteFault(TargetFault);
     void finish(std::string_view outcome, int status);
     void log(std::string_view event, nlohmann::json fields) const;
 
-    GatewayParts &m_parts;
+    GatewayContext &m_gatewayContext;
     std::shared_ptr<HttpServerConnection> m_caller;
     RoutedRequest m_routed;
-    ForwardedRequest m_decisions;
+    ForwardedRequest m_forwardedRequest;
     boost::asio::steady_timer m_timer;
     absl::Time m_arrivedAt;
     std::shared_ptr<TargetAttempt> m_attempt;
@@ -106,12 +106,12 @@
     std::optional<TargetId> m_copyHolder;
     TargetLoad m_copyLoad;
     bool m_isFromCopy{false};
-    std::vector<TargetId> m_tried;
+    std::vector<TargetId> m_triedTargets;
     // Head of the first stream, or the last complete answer.
-    HttpResponse m_answer;
+    HttpResponse m_response;
     bool m_hasStreamHead{false};
-    bool m_isLogged{false};
-    std::optional<absl::Time> m_lostAt;
+    bool m_isOutcomeLogged{false};
+    std::optional<absl::Time> m_interruptedAt;
     // Of the last event that the caller was sent; unset before the first one.
     std::optional<absl::Time> m_lastEventAt;
     absl::Duration m_longestGap;
--- a/Libraries/LibGateway/ForwardSessionCopies.cpp
+++ b/Libraries/LibGateway/ForwardSessionCopies.cpp
@@ -28,28 +28,28 @@
 
 } // namespace detail
 
-std::optional<CopySource> ForwardSession::usableCopy() const
+std::optional<CopySource> ForwardSession::findUsableCopy() const
 {
     const auto &copy = m_copies.copy();
-    if (!copy || !m_parts.targets.isHealthy(copy->holder, monotonicNow()))
+    if (!copy || !m_gatewayContext.targets.isHealthy(copy->holder, monotonicNow()))
         return std::nullopt;
-    const auto *holder = m_parts.targets.find(copy->holder);
+    const auto *holder = m_gatewayContext.targets.find(copy->holder);
     return CopySource{copy->handle.empty() ? holder->address : m_targetAddress, copy->handle};
 }
 
-void ForwardSession::placeCopyLoad(const std::optional<TargetId> &holder)
+void ForwardSession::reserveCopyLoad(const std::optional<TargetId> &holder)
 {
     if (m_copyHolder)
-        m_parts.targets.subtractLoad(*m_copyHolder, std::exchange(m_copyLoad, {}));
+        m_gatewayContext.targets.subtractLoad(*m_copyHolder, std::exchange(m_copyLoad, {}));
     m_copyHolder = holder;
     if (!m_copyHolder)
         return;
     m_copyLoad = {
         .requests = 0, .pendingPrefillTokens = 0, .memoryTokens = m_routed.request.size.memoryTokens()};
-    m_parts.targets.addLoad(*m_copyHolder, m_copyLoad);
+    m_gatewayContext.targets.addLoad(*m_copyHolder, m_copyLoad);
 }
 
-void ForwardSession::handleCopy(const KvCopyEvent &event)
+void ForwardSession::handleCopyEvent(const KvCopyEvent &event)
 {
     for (const auto &it : m_copies.handle(event, monotonicNow()))
         std::visit([this](const auto &action) { perform(action); }, it);
@@ -59,46 +59,48 @@
 {
     const auto now = monotonicNow();
     auto holder = action.holder;
-    if (m_target && (!holder || !m_parts.targets.isHealthy(*holder, now)))
-        holder = m_parts.targets.chooseCopyHolder(need(), *m_target, now);
-    const auto *to = holder ? m_parts.targets.find(*holder) : nullptr;
-    const auto *from = m_target ? m_parts.targets.find(*m_target) : nullptr;
+    if (m_target && (!holder || !m_gatewayContext.targets.isHealthy(*holder, now)))
+        holder = m_gatewayContext.targets.chooseCopyHolder(requirements(), *m_target, now);
+    const auto *to = holder ? m_gatewayContext.targets.find(*holder) : nullptr;
+    const auto *from = m_target ? m_gatewayContext.targets.find(*m_target) : nullptr;
     if (!to || !from) {
-        boost::asio::post(m_parts.context, [self = shared_from_this(), call = action.callId] {
-            self->handleCopy(KvCopyEvents::CopyFailed{call});
+        boost::asio::post(m_gatewayContext.context, [self = shared_from_this(), call = action.callId] {
+            self->handleCopyEvent(KvCopyEvents::CopyFailed{call});
         });
         return;
     }
-    placeCopyLoad(holder);
-    const auto call = m_parts.dialect.makeCopyCall(m_routed.request.id, to->address);
-    m_parts.connections.call(
-        *from, call, detail::copyTimeout,
+    reserveCopyLoad(holder);
+    const auto controlRequest = m_gatewayContext.dialect.makeCopyRequest(m_routed.request.id, to->address);
+    m_gatewayContext.connections.sendControlRequest(
+        *from, controlRequest, detail::copyTimeout,
         [self = shared_from_this(), holder = *holder, number = action.callId](const HttpCallResult &result) {
-            if (self->m_decisions.isFinished())
+            if (self->m_forwardedRequest.isFinished())
                 return;
-            const auto answer = result ? self->m_parts.dialect.readCopyAnswer(*result) : CopyAnswer{};
+            const auto answer =
+                result ? self->m_gatewayContext.dialect.parseCopyResponse(*result) : CopyResponse{};
             self->log("copy",
                       {{"holder", holder.value()},
                        {"outcome", detail::copyOutcomeName(answer.outcome)},
                        {"handle", answer.handle},
                        {"status", result ? result->head.status : 0}});
             if (answer.outcome == CopyOutcome::Made)
-                self->handleCopy(KvCopyEvents::CopyCreated{number, holder, answer.handle});
+                self->handleCopyEvent(KvCopyEvents::CopyCreated{number, holder, answer.handle});
             else if (answer.outcome == CopyOutcome::Impossible)
-                self->handleCopy(KvCopyEvents::CopyUnsupported{number});
+                self->handleCopyEvent(KvCopyEvents::CopyUnsupported{number});
             else
-                self->handleCopy(KvCopyEvents::CopyFailed{number});
+                self->handleCopyEvent(KvCopyEvents::CopyFailed{number});
         });
 }
 
 void ForwardSession::perform(const KvCopyActions::DeleteCopy &action)
 {
-    const auto *from = m_target ? m_parts.targets.find(*m_target) : nullptr;
+    const auto *from = m_target ? m_gatewayContext.targets.find(*m_target) : nullptr;
     if (!from)
         return;
     // NOTE: A copy that is not given back lapses by itself, so the answer does not matter.
-    m_parts.connections.call(*from, m_parts.dialect.dropCopyCall(action.handle), detail::copyTimeout,
-                             [](const HttpCallResult &) {});
+    m_gatewayContext.connections.sendControlRequest(
+        *from, m_gatewayContext.dialect.makeCopyReleaseRequest(action.handle), detail::copyTimeout,
+        [](const HttpCallResult &) {});
 }
 
 void ForwardSession::perform(const KvCopyActions::SetTimer &action)
@@ -107,7 +109,7 @@
         absl::ToChronoNanoseconds(std::max(action.at - monotonicNow(), absl::ZeroDuration())));
     m_copyTimer.async_wait([weak = weak_from_this()](const auto &ec) {
         if (auto self = weak.lock(); self && !ec)
-            self->handleCopy(KvCopyEvents::Tick{});
+            self->handleCopyEvent(KvCopyEvents::Tick{});
     });
 }
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -29,12 +29,12 @@
 constexpr absl::Duration targetsCallTimeout = absl::Milliseconds(600);
 constexpr absl::Duration configurationCallTimeout = absl::Milliseconds(1500);
 // Routers that do not watch the store compare their whole view with another router's this often, in seconds.
-constexpr std::uint64_t reconcileSeconds = 10;
+constexpr std::uint64_t reconcileIntervalSeconds = 10;
 // Callers that this router turns away come back after this long; by then they know of another one.
-constexpr absl::Duration turnedAwayRetryAfter = absl::Milliseconds(100);
+constexpr absl::Duration shutdownRetryAfter = absl::Milliseconds(100);
 // Of a caller that does not say how long it waits.
-constexpr absl::Duration defaultPatience = absl::Seconds(10);
-constexpr absl::Duration publishRetry = absl::Milliseconds(500);
+constexpr absl::Duration defaultCallerTimeout = absl::Seconds(10);
+constexpr absl::Duration publishRetryInterval = absl::Milliseconds(500);
 
 std::string requestPath(const HttpRequest &request)
 {
@@ -58,26 +58,24 @@
     : m_context(context), m_settings(settings), m_site(site),
       m_random(static_cast<std::uint64_t>(absl::ToUnixNanos(absl::Now()))
                ^ static_cast<std::uint64_t>(getpid()) ^ absl::HashOf(settings.id)),
-      m_log(STDOUT_FILENO, settings.id.value()), m_targets(settings.domain, m_random),
-      m_connections(context), m_parts{.context = context,
-                                      .dialect = site.dialect,
-                                      .random = m_random,
-                                      .targets = m_targets,
-                                      .connections = m_connections,
-                                      .log = m_log,
-                                      .metrics = m_metrics,
-                                      .targetFailed = [this](const auto &id,
-                                                             auto fault) { targetFailed(id, fault); },
-                                      .loadChanged =
-                                          [this] {
-                                              if (m_peerLink)
-                                                  m_peerLink->reportSoon();
-                                          },
-                                      .sessionEnded =
-                                          [this](const auto &session) {
-                                              boost::asio::post(
-                                                  m_context, [this, session] { m_sessions.erase(session); });
-                                          }},
+      m_log(STDOUT_FILENO, settings.id.value()), m_targets(settings.domain, m_random), m_connections(context),
+      m_gatewayContext{.context = context,
+                       .dialect = site.dialect,
+                       .random = m_random,
+                       .targets = m_targets,
+                       .connections = m_connections,
+                       .log = m_log,
+                       .metrics = m_metrics,
+                       .targetFailed = [this](const auto &id, auto fault) { targetFailed(id, fault); },
+                       .loadChanged =
+                           [this] {
+                               if (m_peerLink)
+                                   m_peerLink->scheduleReport();
+                           },
+                       .sessionEnded =
+                           [this](const auto &session) {
+                               boost::asio::post(m_context, [this, session] { m_sessions.erase(session); });
+                           }},
       m_configurationView(DirectoryKind::Configuration, context, site.store, site.decoder, *this, m_log,
                           m_random),
       m_targetsView(DirectoryKind::Targets, context, site.store, site.decoder, *this, m_log, m_random),
@@ -85,7 +83,7 @@
       m_configurationRelay(context, m_configurationView, "configuration", detail::configurationCallTimeout,
                            m_log, m_random),
       m_targetsRelay(context, m_targetsView, "targets", detail::targetsCallTimeout, m_log, m_random),
-      m_second(context), m_stopTimer(context)
+      m_periodicTimer(context), m_shutdownTimer(context)
 {
     m_self.id = settings.id;
     m_self.domain = settings.domain;
@@ -129,12 +127,12 @@
         monotonicNow());
     m_configurationView.start();
     m_targetsView.start();
-    publishSelf();
+    publishOwnRecord();
     m_peerLink->start();
-    everySecond();
+    runPeriodicTasks();
 }
 
-void Gateway::publishSelf()
+void Gateway::publishOwnRecord()
 {
     const RouterRecord record{m_self.id, m_self.domain, m_self.callerAddress, m_self.peerAddress};
     m_site.store.publish(record, [this](const ErrorOr<void> &result) {
@@ -147,26 +145,27 @@
         m_log.write("publish_failed",
                     {{"error", errorName(result.error().code)}, {"detail", result.error().detail}},
                     monotonicNow());
-        m_stopTimer.expires_after(absl::ToChronoNanoseconds(detail::publishRetry));
-        m_stopTimer.async_wait([this](const auto &ec) {
-            if (!ec && !m_stopStarted)
-                publishSelf();
+        m_shutdownTimer.expires_after(absl::ToChronoNanoseconds(detail::publishRetryInterval));
+        m_shutdownTimer.async_wait([this](const auto &ec) {
+            if (!ec && !m_shutdownStartedAt)
+                publishOwnRecord();
         });
     });
 }
 
 bool Gateway::isReady() const
 {
-    return m_routes && m_targetsView.hasView() && !m_stopStarted;
+    return m_routes && m_targetsView.hasView() && !m_shutdownStartedAt;
 }
 
 void Gateway::handleRequest(const std::shared_ptr<HttpServerConnection> &caller, HttpRequest message)
 {
-    if (!answerOwn(caller, message))
+    if (!tryHandleLocally(caller, message))
         forward(caller, std::move(message));
 }
 
-bool Gateway::answerOwn(const std::shared_ptr<HttpServerConnection> &caller, const HttpRequest &message)
+bool Gateway::tryHandleLocally(const std::shared_ptr<HttpServerConnection> &caller,
+                               const HttpRequest &message)
 {
     const auto target = message.target();
     const std::string_view view(target.data(), target.size());
@@ -180,7 +179,7 @@
     }
     if (const auto request = ViewRelay::readRequest(view)) {
         auto &relay = request->view == m_targetsRelay.name() ? m_targetsRelay : m_configurationRelay;
-        caller->respond(request->view == relay.name() ? relay.answer(request->after)
+        caller->respond(request->view == relay.name() ? relay.responseFor(request->after)
                                                       : makeResponse(detail::statusNotFound, "", ""));
         return true;
     }
@@ -207,7 +206,7 @@
     auto response = makeResponse(status, "text/plain", "");
     if (after)
         setRetryAfter(response, *after, m_random);
-    m_metrics.count("requests_refused_total", absl::StrCat("reason=\"", std::string(reason), "\""));
+    m_metrics.increment("requests_refused_total", absl::StrCat("reason=\"", std::string(reason), "\""));
     m_log.write("refused",
                 {{"request", requestId},
                  {"status", status},
@@ -223,13 +222,13 @@
     if (!request)
         return refuse(caller, detail::statusBadRequest, request.error().detail, "");
     const auto id = request->id.value();
-    const auto patience = request->callerTimeout.value_or(detail::defaultPatience);
+    const auto callerTimeout = request->callerTimeout.value_or(detail::defaultCallerTimeout);
     if (!m_routes || !m_targetsView.hasView()) {
         // Targets whose entries lapsed with the store come back only some time after it.
-        const auto lapsed =
+        const auto expiryGrace =
             m_targetsView.isStoreLost() ? DirectorySynchronizer::removalGracePeriod : absl::ZeroDuration();
         return refuse(caller, detail::statusUnavailable, "no_configuration", id,
-                      retryAfter(patience, monotonicNow() - m_startedAt + lapsed));
+                      retryAfter(callerTimeout, monotonicNow() - m_startedAt + expiryGrace));
     }
     RoutedRequest routed{.request = std::move(*request), .table = m_routes};
     const auto host = fieldValue(message, "Host");
@@ -244,23 +243,23 @@
     routed.service = m_routes->findService(RouteTable::chooseService(*routed.route, m_random.fraction()));
     if (!routed.service) {
         return refuse(caller, detail::statusUnavailable, "unknown_service", id,
-                      retryAfter(patience, absl::ZeroDuration()));
+                      retryAfter(callerTimeout, absl::ZeroDuration()));
     }
-    if (m_stopStarted && isStream(routed.route->kind)) {
-        return refuse(caller, detail::statusUnavailable, "stopping", id, detail::turnedAwayRetryAfter);
+    if (m_shutdownStartedAt && isStream(routed.route->kind)) {
+        return refuse(caller, detail::statusUnavailable, "stopping", id, detail::shutdownRetryAfter);
     }
     routed.message = std::move(message);
     const auto now = monotonicNow();
-    auto &budget = budgetOf(routed.service->name);
+    auto &budget = budgetFor(routed.service->name);
     budget.recordRequest(now);
-    auto session = std::make_shared<ForwardSession>(m_parts, caller, std::move(routed), budget, now);
+    auto session = std::make_shared<ForwardSession>(m_gatewayContext, caller, std::move(routed), budget, now);
     m_sessions.insert(session);
     session->start();
 }
 
-ServiceRetryBudget &Gateway::budgetOf(const ServiceName &service)
+ServiceRetryBudget &Gateway::budgetFor(const ServiceName &service)
 {
-    return m_budgets.try_emplace(service, m_settings.repeats).first->second;
+    return m_budgets.try_emplace(service, m_settings.retryLimits).first->second;
 }
 
 void Gateway::configurationChanged(std::shared_ptr<const RouteTable> routes)
@@ -279,7 +278,7 @@
                        .idleTimeout = limits.idleTimeout});
     }
     m_routes = std::move(routes);
-    m_peerLink->reportSoon();
+    m_peerLink->scheduleReport();
 }
 
 void Gateway::targetChanged(const ForwardingTarget &record)
@@ -296,8 +295,8 @@
                      {"started_at_ms", record.startedAtMs}},
                     monotonicNow());
     }
-    if (const auto former = m_targets.upsert(record))
-        tellSessions(*former, TargetFault::Gone);
+    if (const auto replacedTarget = m_targets.upsert(record))
+        notifySessions(*replacedTarget, TargetFault::Gone);
 }
 
 void Gateway::targetRemoved(const TargetId &id)
@@ -305,7 +304,7 @@
     m_log.write("target_removed", {{"target", id.value()}}, monotonicNow());
     m_targets.remove(id);
     // A target that leaves without notice goes on serving what runs there for a while.
-    tellSessions(id, TargetFault::Unreachable);
+    notifySessions(id, TargetFault::Unreachable);
     m_connections.remove(id);
 }
 
@@ -317,29 +316,29 @@
                            .domain = record.domain,
                            .callerAddress = record.callerAddress,
                            .peerAddress = record.peerAddress});
-    m_peerLink->reportSoon();
+    m_peerLink->scheduleReport();
 }
 
 PeerReport Gateway::makeReport()
 {
     PeerReport report;
     report.router = m_self;
-    report.router.phase = m_stopStarted ? RouterPhase::Draining
-        : isReady()                     ? RouterPhase::Serving
-                                        : RouterPhase::Starting;
-    report.sequence = ++m_reports;
+    report.router.phase = m_shutdownStartedAt ? RouterPhase::Draining
+        : isReady()                           ? RouterPhase::Serving
+                                              : RouterPhase::Starting;
+    report.sequence = ++m_reportSequence;
     report.configurationRevision = m_configurationView.changeRevision();
     report.targetsRevision = m_targetsView.changeRevision();
     report.loads = m_targets.ownLoads();
-    report.faults = std::exchange(m_faults, {});
-    report.gone = std::exchange(m_gone, {});
+    report.faults = std::exchange(m_unreportedFaults, {});
+    report.gone = std::exchange(m_unreportedGone, {});
     for (const auto &[service, budget] : m_budgets)
         report.counts[service] = budget.counts();
     report.router.isStoreTrusted = m_targetsView.isTrusted(monotonicNow());
     return report;
 }
 
-void Gateway::takeReport(const PeerReport &report)
+void Gateway::handleReport(const PeerReport &report)
 {
     if (report.router.id == m_self.id)
         return;
@@ -350,32 +349,32 @@
                      {"incarnation", report.router.incarnation.value()},
                      {"phase", static_cast<int>(report.router.phase)}},
                     now);
-        m_peerLink->reportSoon();
+        m_peerLink->scheduleReport();
     }
     m_targets.setPeerLoads(report.router.id, report.loads, now);
     for (const auto &it : report.faults) {
         m_targets.recordPeerFault(it, now);
-        tellSessions(it, TargetFault::Unresponsive);
+        notifySessions(it, TargetFault::Unresponsive);
     }
     for (const auto &it : report.gone) {
         m_targets.markGone(it);
-        tellSessions(it, TargetFault::Gone);
+        notifySessions(it, TargetFault::Gone);
     }
-    takeCounts(report, now);
+    addReportedCounts(report, now);
     m_configurationRelay.noteRevision(report.router, report.configurationRevision);
     m_targetsRelay.noteRevision(report.router, report.targetsRevision);
 }
 
-void Gateway::takeCounts(const PeerReport &report, absl::Time now)
+void Gateway::addReportedCounts(const PeerReport &report, absl::Time now)
 {
-    auto &last = m_lastCounts[report.router.id];
+    auto &last = m_lastReportedCounts[report.router.id];
     if (last.incarnation != report.router.incarnation)
         last = {report.router.incarnation, report.counts};
     for (const auto &[service, counts] : report.counts) {
         auto &before = last.counts[service];
         if (counts.requests >= before.requests && counts.retries >= before.retries)
-            budgetOf(service).recordPeerCounts(counts.requests - before.requests,
-                                               counts.retries - before.retries, now);
+            budgetFor(service).recordPeerCounts(counts.requests - before.requests,
+                                                counts.retries - before.retries, now);
         before = counts;
     }
 }
@@ -384,14 +383,14 @@
 {
     if (fault == TargetFault::InvalidResponse)
         return;
-    (fault == TargetFault::Gone ? m_gone : m_faults).push_back(id);
-    m_peerLink->reportSoon();
-    tellSessions(id, fault);
+    (fault == TargetFault::Gone ? m_unreportedGone : m_unreportedFaults).push_back(id);
+    m_peerLink->scheduleReport();
+    notifySessions(id, fault);
     if (fault == TargetFault::ConnectionLost)
         verifyTarget(id);
 }
 
-void Gateway::tellSessions(const TargetId &id, TargetFault fault)
+void Gateway::notifySessions(const TargetId &id, TargetFault fault)
 {
     boost::asio::post(m_context, [this, id, fault] {
         const std::vector<std::shared_ptr<ForwardSession>> sessions(m_sessions.begin(), m_sessions.end());
@@ -403,16 +402,16 @@
 void Gateway::verifyTarget(const TargetId &id)
 {
     const auto *record = m_targets.find(id);
-    if (!record || !m_verifying.insert(id).second)
+    if (!record || !m_targetsUnderVerification.insert(id).second)
         return;
     m_connections.probe(*record, [this, id](ProbeResult result) {
-        m_verifying.erase(id);
+        m_targetsUnderVerification.erase(id);
         const auto now = monotonicNow();
-        if (result == ProbeResult::Accepts) {
+        if (result == ProbeResult::Connected) {
             m_targets.markReachable(id);
             return;
         }
-        const auto fault = result == ProbeResult::Refuses ? TargetFault::Gone : TargetFault::Unreachable;
+        const auto fault = result == ProbeResult::Refused ? TargetFault::Gone : TargetFault::Unreachable;
         m_targets.recordFault(id, fault, now);
         m_log.write("target_verified", {{"target", id.value()}, {"fault", targetFaultName(fault)}}, now);
         targetFailed(id, fault);
@@ -428,10 +427,10 @@
     }
     if (candidates.empty())
         return;
-    m_targetsRelay.pullWhole(candidates[m_random.below(candidates.size())]);
+    m_targetsRelay.pullFullView(candidates[m_random.below(candidates.size())]);
 }
 
-void Gateway::everySecond()
+void Gateway::runPeriodicTasks()
 {
     const auto now = monotonicNow();
     m_connections.dropOld(now);
@@ -444,19 +443,19 @@
     }
     for (auto &[service, budget] : m_budgets)
         budget.setRouterCounts(routers, m_roster.members().size() + 1);
-    if (++m_seconds % detail::reconcileSeconds == 0 && !shouldWatchStore)
+    if (++m_periodicRuns % detail::reconcileIntervalSeconds == 0 && !shouldWatchStore)
         reconcile(now);
     m_metrics.setGauge("routers_alive", static_cast<double>(routers));
     m_metrics.setGauge("targets", static_cast<double>(m_targets.size()));
     m_metrics.setGauge("requests_open", static_cast<double>(m_sessions.size()));
     m_metrics.setGauge("configuration_version",
                        m_routes ? static_cast<double>(m_routes->version().value()) : 0);
-    m_metrics.setGauge("log_lines_dropped", static_cast<double>(m_log.dropped()));
+    m_metrics.setGauge("log_lines_dropped", static_cast<double>(m_log.droppedLines()));
     m_log.flush();
-    m_second.expires_after(std::chrono::seconds(1));
-    m_second.async_wait([this](const auto &ec) {
+    m_periodicTimer.expires_after(std::chrono::seconds(1));
+    m_periodicTimer.async_wait([this](const auto &ec) {
         if (!ec)
-            everySecond();
+            runPeriodicTasks();
     });
 }
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -4,7 +4,7 @@
 
 #include <LibForwarding/RouterRegistry.h>
 #include <LibForwarding/ServiceRetryBudget.h>
-#include <LibGateway/Directory.h>
+#include <LibGateway/DirectoryView.h>
 #include <LibGateway/ForwardSession.h>
 #include <LibGateway/GatewaySettings.h>
 #include <LibGateway/PeerLink.h>
@@ -30,7 +30,7 @@
     DirectoryStore &store;
 };
 
-class Gateway final : private HttpRequestHandler, private DirectoryListener, private PeerLinkHost
+class Gateway final : private HttpRequestHandler, private DirectoryListener, private PeerLinkDelegate
 {
 public:
     // A router that stops takes requests from callers that have not heard of it for this long, and no longer.
@@ -38,7 +38,7 @@
     static constexpr absl::Duration stopListeningAfter = absl::Seconds(3);
     // Part of the grace after which streams that still run are broken off. Source: leaves half a second of
     // eight for the last writes.
-    static constexpr double breakOffShare = 0.94;
+    static constexpr double abortGraceFraction = 0.94;
 
     // Errors: InvalidSettings.
     [[nodiscard]] static ErrorOr<std::unique_ptr<Gateway>>
@@ -53,7 +53,7 @@
     // Logs that the settings file could not be taken; the settings stay as they are.
     void reloadFailed(const Error &);
     // Leaves the entry points, finishes what runs, then ends the event loop.
-    void startStop();
+    void startShutdown();
 
 private:
     Gateway(boost::asio::io_context &, const GatewaySettings &, const SiteAdapter &);
@@ -67,28 +67,28 @@
     void targetRemoved(const TargetId &) override;
     void routerChanged(const RouterRecord &) override;
     [[nodiscard]] PeerReport makeReport() override;
-    void takeReport(const PeerReport &) override;
+    void handleReport(const PeerReport &) override;
     [[nodiscard]] std::vector<RouterRegistry::Member> peers() const override { return m_roster.members(); }
 
     // Answers of the gateway itself; false when the request is none of these.
-    bool answerOwn(const std::shared_ptr<HttpServerConnection> &, const HttpRequest &);
+    bool tryHandleLocally(const std::shared_ptr<HttpServerConnection> &, const HttpRequest &);
     void forward(const std::shared_ptr<HttpServerConnection> &, HttpRequest);
     void refuse(const std::shared_ptr<HttpServerConnection> &, int status, std::string_view reason,
                 const std::string &requestId, std::optional<absl::Duration> after = std::nullopt);
     [[nodiscard]] HttpResponse entryPoints(const EntryPointQuery &) const;
     [[nodiscard]] bool isReady() const;
-    [[nodiscard]] ServiceRetryBudget &budgetOf(const ServiceName &);
+    [[nodiscard]] ServiceRetryBudget &budgetFor(const ServiceName &);
     void targetFailed(const TargetId &, TargetFault);
-    void tellSessions(const TargetId &, TargetFault);
+    void notifySessions(const TargetId &, TargetFault);
     // Finds out whether a target that lost a connection is there at all.
     void verifyTarget(const TargetId &);
-    void takeCounts(const PeerReport &, absl::Time now);
+    void addReportedCounts(const PeerReport &, absl::Time now);
 
-    void publishSelf();
+    void publishOwnRecord();
     // Compares the whole view of targets with another router's.
     void reconcile(absl::Time now);
-    void everySecond();
-    void checkStopped();
+    void runPeriodicTasks();
+    void continueShutdown();
 
     boost::asio::io_context &m_context;
     GatewaySettings m_settings;
@@ -98,7 +98,7 @@
     GatewayMetrics m_metrics;
     TargetPool m_targets;
     TargetConnections m_connections;
-    GatewayParts m_parts;
+    GatewayContext m_gatewayContext;
     RouterRegistry m_roster;
     RouterRegistry::Member m_self;
     DirectoryView m_configurationView;
@@ -112,24 +112,24 @@
     absl::flat_hash_set<std::shared_ptr<ForwardSession>> m_sessions;
     std::vector<std::unique_ptr<HttpServer>> m_servers;
     std::unique_ptr<PeerLink> m_peerLink;
-    boost::asio::steady_timer m_second;
-    std::uint64_t m_seconds{0};
-    boost::asio::steady_timer m_stopTimer;
+    boost::asio::steady_timer m_periodicTimer;
+    std::uint64_t m_periodicRuns{0};
+    boost::asio::steady_timer m_shutdownTimer;
     absl::Time m_startedAt;
-    std::optional<absl::Time> m_stopStarted;
-    std::uint64_t m_reports{0};
+    std::optional<absl::Time> m_shutdownStartedAt;
+    std::uint64_t m_reportSequence{0};
     // Targets that this router found at fault since its last report.
-    std::vector<TargetId> m_faults;
+    std::vector<TargetId> m_unreportedFaults;
     // Targets that it found replaced since then.
-    std::vector<TargetId> m_gone;
-    absl::flat_hash_set<TargetId> m_verifying;
+    std::vector<TargetId> m_unreportedGone;
+    absl::flat_hash_set<TargetId> m_targetsUnderVerification;
     // What each router counted when it was last heard of.
-    struct LastCounts
+    struct ReportedCounts
     {
         Incarnation incarnation;
         ServiceCounts counts;
     };
-    std::map<RouterId, LastCounts> m_lastCounts;
+    std::map<RouterId, ReportedCounts> m_lastReportedCounts;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibGateway/GatewayParts.h
+++ b/Libraries/LibGateway/GatewayContext.h
@@ -18,7 +18,7 @@
 
 class ForwardSession;
 
-struct GatewayParts
+struct GatewayContext
 {
     boost::asio::io_context &context;
     const Dialect &dialect;
--- a/Libraries/LibGateway/GatewayLifecycle.cpp
+++ b/Libraries/LibGateway/GatewayLifecycle.cpp
@@ -8,9 +8,9 @@
 
 namespace detail {
 
-constexpr absl::Duration stopCheckInterval = absl::Milliseconds(100);
+constexpr absl::Duration shutdownCheckInterval = absl::Milliseconds(100);
 // Time for the last answers to leave the process.
-constexpr absl::Duration lastWrites = absl::Milliseconds(200);
+constexpr absl::Duration finalWriteDelay = absl::Milliseconds(200);
 
 } // namespace detail
 
@@ -25,14 +25,14 @@
                 {{"needs_restart", needsRestart},
                  {"entry_point_lifetime_s", absl::ToDoubleSeconds(settings.entryPointLifetime)},
                  {"stop_grace_s", absl::ToDoubleSeconds(settings.stopGrace)},
-                 {"repeat_ratio", settings.repeats.ratio},
-                 {"repeat_slack", settings.repeats.minRetriesPerWindow}},
+                 {"repeat_ratio", settings.retryLimits.ratio},
+                 {"repeat_slack", settings.retryLimits.minRetriesPerWindow}},
                 monotonicNow());
     m_settings.entryPointLifetime = settings.entryPointLifetime;
     m_settings.stopGrace = settings.stopGrace;
-    m_settings.repeats = settings.repeats;
+    m_settings.retryLimits = settings.retryLimits;
     for (auto &[service, budget] : m_budgets)
-        budget.setLimits(settings.repeats);
+        budget.setLimits(settings.retryLimits);
 }
 
 void Gateway::reloadFailed(const Error &error)
@@ -41,41 +41,41 @@
                 monotonicNow());
 }
 
-void Gateway::startStop()
+void Gateway::startShutdown()
 {
-    if (m_stopStarted)
+    if (m_shutdownStartedAt)
         return;
-    m_stopStarted = monotonicNow();
-    m_log.write("stopping", {{"open_requests", m_sessions.size()}}, *m_stopStarted);
-    m_peerLink->reportNow();
+    m_shutdownStartedAt = monotonicNow();
+    m_log.write("stopping", {{"open_requests", m_sessions.size()}}, *m_shutdownStartedAt);
+    m_peerLink->sendReport();
     for (const auto &it : m_servers)
         it->startClosing();
-    checkStopped();
+    continueShutdown();
 }
 
-void Gateway::checkStopped()
+void Gateway::continueShutdown()
 {
     const auto now = monotonicNow();
-    const auto elapsed = now - *m_stopStarted;
-    const bool isOver = elapsed >= breakOffShare * m_settings.stopGrace;
-    if (isOver) {
+    const auto elapsed = now - *m_shutdownStartedAt;
+    const bool isGraceOver = elapsed >= abortGraceFraction * m_settings.stopGrace;
+    if (isGraceOver) {
         const auto sessions = m_sessions;
         for (const auto &it : sessions)
             it->stopNow();
     }
-    if (isOver || (elapsed >= stopListeningAfter && m_sessions.empty())) {
+    if (isGraceOver || (elapsed >= stopListeningAfter && m_sessions.empty())) {
         for (const auto &it : m_servers)
             it->stopListening();
         m_log.write("stopped", {{"after_ms", absl::ToInt64Milliseconds(elapsed)}}, now);
         m_log.flush();
-        m_stopTimer.expires_after(absl::ToChronoNanoseconds(detail::lastWrites));
-        m_stopTimer.async_wait([this](const auto &) { m_context.stop(); });
+        m_shutdownTimer.expires_after(absl::ToChronoNanoseconds(detail::finalWriteDelay));
+        m_shutdownTimer.async_wait([this](const auto &) { m_context.stop(); });
         return;
     }
-    m_stopTimer.expires_after(absl::ToChronoNanoseconds(detail::stopCheckInterval));
-    m_stopTimer.async_wait([this](const auto &ec) {
+    m_shutdownTimer.expires_after(absl::ToChronoNanoseconds(detail::shutdownCheckInterval));
+    m_shutdownTimer.async_wait([this](const auto &ec) {
         if (!ec)
-            checkStopped();
+            continueShutdown();
     });
 }
 
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -9,7 +9,7 @@
 
 namespace detail {
 
-std::string labelled(const std::string &name, const std::string &labels)
+std::string seriesName(const std::string &name, const std::string &labels)
 {
     return labels.empty() ? name : absl::StrCat(name, "{", labels, "}");
 }
@@ -33,11 +33,11 @@
     for (std::size_t i = 0; i < bounds.size(); ++i)
         absl::StrAppend(&out, name, "_bucket{", prefix, "le=\"", bounds[i], "\"} ", m_counts[i], "\n");
     absl::StrAppend(&out, name, "_bucket{", prefix, "le=\"+Inf\"} ", m_count, "\n");
-    absl::StrAppend(&out, detail::labelled(name + "_sum", labels), " ", m_sum, "\n");
-    absl::StrAppend(&out, detail::labelled(name + "_count", labels), " ", m_count, "\n");
+    absl::StrAppend(&out, detail::seriesName(name + "_sum", labels), " ", m_sum, "\n");
+    absl::StrAppend(&out, detail::seriesName(name + "_count", labels), " ", m_count, "\n");
 }
 
-void GatewayMetrics::count(const std::string &name, const std::string &labels, std::uint64_t n)
+void GatewayMetrics::increment(const std::string &name, const std::string &labels, std::uint64_t n)
 {
     m_counters[name][labels] += n;
 }
@@ -55,16 +55,16 @@
 std::string GatewayMetrics::render() const
 {
     std::string out;
-    for (const auto &[name, rows] : m_counters) {
+    for (const auto &[name, series] : m_counters) {
         absl::StrAppend(&out, "# TYPE wisteria_", name, " counter\n");
-        for (const auto &[labels, n] : rows)
-            absl::StrAppend(&out, "wisteria_", detail::labelled(name, labels), " ", n, "\n");
+        for (const auto &[labels, n] : series)
+            absl::StrAppend(&out, "wisteria_", detail::seriesName(name, labels), " ", n, "\n");
     }
     for (const auto &[name, value] : m_gauges)
         absl::StrAppend(&out, "# TYPE wisteria_", name, " gauge\nwisteria_", name, " ", value, "\n");
-    for (const auto &[name, rows] : m_histograms) {
+    for (const auto &[name, series] : m_histograms) {
         absl::StrAppend(&out, "# TYPE wisteria_", name, " histogram\n");
-        for (const auto &[labels, histogram] : rows)
+        for (const auto &[labels, histogram] : series)
             histogram.render("wisteria_" + name, labels, out);
     }
     return out;
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -32,7 +32,7 @@
 {
 public:
     // Names are without the prefix "wisteria_"; labels are of the form `outcome="complete"`.
-    void count(const std::string &name, const std::string &labels, std::uint64_t n = 1);
+    void increment(const std::string &name, const std::string &labels, std::uint64_t n = 1);
     void setGauge(const std::string &name, double value);
     void observe(const std::string &name, const std::string &labels, absl::Duration);
 
--- a/Libraries/LibGateway/GatewaySettings.cpp
+++ b/Libraries/LibGateway/GatewaySettings.cpp
@@ -7,7 +7,7 @@
 
 namespace detail {
 
-ErrorOr<RetryLimits> readRepeats(SettingsReader reader)
+ErrorOr<RetryLimits> readRetryLimits(SettingsReader reader)
 {
     RetryLimits limits;
     reader.number("ratio", 0, 10, limits.ratio);
@@ -49,11 +49,11 @@
     root.seconds("stop_grace_s", 0.1, 3600, settings.stopGrace);
     const auto listen = root.section("listen");
     const auto store = root.section("store");
-    const auto repeats = root.section("repeats");
+    const auto retryLimits = root.section("repeats");
     TRY_VOID(root.finish());
     TRY_VOID(detail::readListen(listen, settings));
     TRY_VOID(detail::readStore(store, settings));
-    settings.repeats = TRY(detail::readRepeats(repeats));
+    settings.retryLimits = TRY(detail::readRetryLimits(retryLimits));
     return settings;
 }
 
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -27,7 +27,7 @@
     absl::Duration entryPointLifetime{absl::Seconds(2)};
     // Time from the request to stop to the kill.
     absl::Duration stopGrace{absl::Seconds(8)};
-    RetryLimits repeats;
+    RetryLimits retryLimits;
     LogSettings log;
     // Routers of one failure domain that watch the store; the others follow these.
     std::uint32_t watchersPerDomain{2};
--- a/Libraries/LibGateway/PeerLink.cpp
+++ b/Libraries/LibGateway/PeerLink.cpp
@@ -9,16 +9,16 @@
 
 namespace Wisteria {
 
-PeerLink::PeerLink(boost::asio::io_context &context, PeerLinkHost &host)
-    : m_socket(context), m_timer(context), m_host(host)
+PeerLink::PeerLink(boost::asio::io_context &context, PeerLinkDelegate &delegate)
+    : m_socket(context), m_timer(context), m_delegate(delegate)
 {
 }
 
 ErrorOr<std::unique_ptr<PeerLink>> PeerLink::create(boost::asio::io_context &context,
-                                                    std::string_view address, PeerLinkHost &host)
+                                                    std::string_view address, PeerLinkDelegate &delegate)
 {
     const auto endpoint = TRY(parseEndpoint(address));
-    std::unique_ptr<PeerLink> link(new PeerLink(context, host));
+    std::unique_ptr<PeerLink> link(new PeerLink(context, delegate));
     boost::system::error_code ec;
     link->m_socket.open(boost::asio::ip::udp::v4(), ec);
     if (!ec)
@@ -33,35 +33,35 @@
 void PeerLink::start()
 {
     receive();
-    reportNow();
+    sendReport();
 }
 
-void PeerLink::arm(absl::Duration delay)
+void PeerLink::startTimer(absl::Duration delay)
 {
     m_timer.expires_after(absl::ToChronoNanoseconds(delay));
     m_timer.async_wait([this](const auto &ec) {
         if (!ec)
-            reportNow();
+            sendReport();
     });
 }
 
-void PeerLink::reportSoon()
+void PeerLink::scheduleReport()
 {
-    if (std::exchange(m_isSoon, true))
+    if (std::exchange(m_isReportScheduled, true))
         return;
-    arm(std::max(m_sentAt + changeInterval - monotonicNow(), absl::ZeroDuration()));
+    startTimer(std::max(m_sentAt + minReportInterval - monotonicNow(), absl::ZeroDuration()));
 }
 
-void PeerLink::reportNow()
+void PeerLink::sendReport()
 {
     const auto now = monotonicNow();
-    m_isSoon = false;
+    m_isReportScheduled = false;
     m_sentAt = now;
-    ++m_rounds;
-    const auto bytes = encodePeerReport(m_host.makeReport());
-    for (const auto &it : m_host.peers()) {
+    ++m_reportRounds;
+    const auto bytes = encodePeerReport(m_delegate.makeReport());
+    for (const auto &it : m_delegate.peers()) {
         const bool isSilent = now - it.lastReportAt > RouterRegistry::livenessTimeout;
-        if (isSilent && m_rounds % silentPeerStride != 0)
+        if (isSilent && m_reportRounds % silentPeerReportStride != 0)
             continue;
         const auto endpoint = parseEndpoint(it.peerAddress);
         if (!endpoint)
@@ -70,23 +70,24 @@
         // NOTE: A datagram that does not go out is as good as a lost one; the next report makes up for it.
         m_socket.send_to(boost::asio::buffer(bytes), {endpoint->address(), endpoint->port()}, 0, ec);
     }
-    arm(reportInterval);
+    startTimer(maxReportInterval);
 }
 
 void PeerLink::receive()
 {
-    m_socket.async_receive_from(boost::asio::buffer(m_buf), m_from, [this](const auto &ec, std::size_t n) {
-        if (ec == boost::asio::error::operation_aborted)
-            return;
-        if (!ec) {
-            if (auto report = decodePeerReport({m_buf.data(), n})) {
-                m_host.takeReport(*report);
-            } else {
-                LOG_EVERY_N(WARNING, 1000) << "an unreadable report: " << report.error().detail;
+    m_socket.async_receive_from(
+        boost::asio::buffer(m_receiveBuffer), m_senderEndpoint, [this](const auto &ec, std::size_t n) {
+            if (ec == boost::asio::error::operation_aborted)
+                return;
+            if (!ec) {
+                if (auto report = decodePeerReport({m_receiveBuffer.data(), n})) {
+                    m_delegate.handleReport(*report);
+                } else {
+                    LOG_EVERY_N(WARNING, 1000) << "an unreadable report: " << report.error().detail;
+                }
             }
-        }
-        receive();
-    });
+            receive();
+        });
 }
 
 } // namespace Wisteria
--- a/Libraries/LibGateway/RequestStory.cpp
+++ b/Libraries/LibGateway/RequestTimeline.cpp
@@ -1,6 +1,6 @@
 // Reading and ordering log lines.
 
-#include <LibGateway/RequestStory.h>
+#include <LibGateway/RequestTimeline.h>
 
 #include <LibCore/JsonText.h>
 #include <LibCore/Views.h>
@@ -22,9 +22,9 @@
 const std::set<std::string> targetEvents = {"target", "target_removed", "target_verified", "target_fault"};
 
 // What an on-call engineer should know of the final word.
-std::string_view causeOf(const std::string &outcome)
+std::string_view describeOutcome(const std::string &outcome)
 {
-    static const absl::flat_hash_map<std::string, std::string_view> causes = {
+    static const absl::flat_hash_map<std::string, std::string_view> descriptions = {
         {"complete", "the answer was delivered whole"},
         {"no_target",
          "every known target of the service had turned it away, or there was none; it did not run"},
@@ -42,16 +42,16 @@
         {"unknown_key", "no workspace of the configuration in force holds its key"},
         {"unknown_service", "its route names a service that the configuration does not have; it did not run"},
     };
-    const auto it = causes.find(outcome);
-    return it == causes.end() ? "see the last line" : it->second;
+    const auto it = descriptions.find(outcome);
+    return it == descriptions.end() ? "see the last line" : it->second;
 }
 
 std::string describeFields(const nlohmann::json &fields)
 {
-    static const std::set<std::string> shownElsewhere = {"event", "process", "request", "t"};
+    static const std::set<std::string> omittedFields = {"event", "process", "request", "t"};
     std::string out;
     for (const auto &[key, value] : fields.items()) {
-        if (!shownElsewhere.contains(key))
+        if (!omittedFields.contains(key))
             absl::StrAppend(&out, " ", key, "=", value.is_string() ? value.get<std::string>() : value.dump());
     }
     return out;
@@ -59,7 +59,7 @@
 
 } // namespace detail
 
-void RequestStory::addLine(std::string_view text)
+void RequestTimeline::addLine(std::string_view text)
 {
     const auto begin = text.find('{');
     const auto json = begin == std::string_view::npos
@@ -68,7 +68,7 @@
     if (!json || !json->is_object() || !json->contains("t") || !json->at("t").is_number()
         || !json->contains("event") || !json->at("event").is_string() || !json->contains("process")
         || !json->at("process").is_string()) {
-        ++m_leftOut;
+        ++m_skippedLines;
         return;
     }
     Line line{.process = json->at("process").get<std::string>(),
@@ -76,30 +76,31 @@
               .fields = *json};
     const auto event = json->at("event").get<std::string>();
     if (event == "started" && json->contains("unix_s") && json->at("unix_s").is_number())
-        m_bootAt[line.process] = json->at("unix_s").get<double>() - line.at;
-    if (const auto it = m_bootAt.find(line.process); it != m_bootAt.end())
+        m_bootTimes[line.process] = json->at("unix_s").get<double>() - line.at;
+    if (const auto it = m_bootTimes.find(line.process); it != m_bootTimes.end())
         line.at += it->second;
     if (json->value("request", nlohmann::json()) == m_requestId)
-        m_decisions.push_back(std::move(line));
+        m_requestLines.push_back(std::move(line));
     else if (detail::processEvents.contains(event) || detail::targetEvents.contains(event))
-        m_beliefs.push_back(std::move(line));
+        m_contextLines.push_back(std::move(line));
 }
 
-std::vector<RequestStory::Line> RequestStory::relevantLines() const
+std::vector<RequestTimeline::Line> RequestTimeline::relevantLines() const
 {
-    auto out = m_decisions;
+    auto out = m_requestLines;
     std::set<std::string> targets;
     // First and last line of the request at each process.
     std::map<std::string, std::pair<double, double>> spans;
-    for (const auto &it : m_decisions) {
+    for (const auto &it : m_requestLines) {
         if (it.fields.contains("target") && it.fields["target"].is_string())
             targets.insert(it.fields["target"].get<std::string>());
         auto &span = spans.try_emplace(it.process, it.at, it.at).first->second;
         span = {std::min(span.first, it.at), std::max(span.second, it.at)};
     }
-    for (const auto &it : m_beliefs) {
+    for (const auto &it : m_contextLines) {
         const auto span = spans.find(it.process);
-        if (span == spans.end() || it.at < span->second.first - beliefsBeforeS || it.at > span->second.second)
+        if (span == spans.end() || it.at < span->second.first - contextWindowSeconds
+            || it.at > span->second.second)
             continue;
         const auto target = it.fields.value("target", nlohmann::json());
         if (!target.is_string() || targets.contains(target.get<std::string>()))
@@ -109,27 +110,27 @@
     return out;
 }
 
-std::string RequestStory::render() const
+std::string RequestTimeline::render() const
 {
-    if (m_decisions.empty())
+    if (m_requestLines.empty())
         return absl::StrCat("no line of request ", m_requestId, "\n");
     std::string out;
     std::string cause;
     const auto lines = relevantLines();
     const double begin =
-        std::min_element(m_decisions.begin(), m_decisions.end(), [](const auto &a, const auto &b) {
+        std::min_element(m_requestLines.begin(), m_requestLines.end(), [](const auto &a, const auto &b) {
             return a.at < b.at;
         })->at;
     for (const auto &it : lines) {
         const auto event = it.fields["event"].get<std::string>();
-        const bool isOwn = it.fields.value("request", nlohmann::json()) == m_requestId;
-        absl::StrAppendFormat(&out, "%+9.3f s  %s %s  %s%s\n", it.at - begin, isOwn ? " " : "~", it.process,
-                              event, detail::describeFields(it.fields));
-        if (!isOwn || (event != "finished" && event != "refused"))
+        const bool isOfRequest = it.fields.value("request", nlohmann::json()) == m_requestId;
+        absl::StrAppendFormat(&out, "%+9.3f s  %s %s  %s%s\n", it.at - begin, isOfRequest ? " " : "~",
+                              it.process, event, detail::describeFields(it.fields));
+        if (!isOfRequest || (event != "finished" && event != "refused"))
             continue;
         const auto outcome = it.fields.value(event == "finished" ? "outcome" : "reason", nlohmann::json());
         const auto name = outcome.is_string() ? outcome.get<std::string>() : std::string("unknown");
-        cause = absl::StrCat(name, ": ", abslView(detail::causeOf(name)));
+        cause = absl::StrCat(name, ": ", abslView(detail::describeOutcome(name)));
     }
     absl::StrAppend(
         &out,
--- a/Libraries/LibGateway/RequestStory.h
+++ b/Libraries/LibGateway/RequestTimeline.h
@@ -12,20 +12,20 @@
 
 namespace Wisteria {
 
-class RequestStory
+class RequestTimeline
 {
 public:
     // What a process said of its store and its targets this long before the request, in seconds, is told too.
     // Source: the longest time for which a target stays under suspicion, and the grace for lapsed entries.
-    static constexpr double beliefsBeforeS = 3;
+    static constexpr double contextWindowSeconds = 3;
 
-    explicit RequestStory(std::string requestId) : m_requestId(std::move(requestId)) { }
+    explicit RequestTimeline(std::string requestId) : m_requestId(std::move(requestId)) { }
 
     // The lines of one process must come in their order; text before the JSON object is passed over. What is
     // no line of a gateway's log is left out and counted.
     void addLine(std::string_view);
-    [[nodiscard]] bool isEmpty() const { return m_decisions.empty(); }
-    [[nodiscard]] std::size_t leftOut() const { return m_leftOut; }
+    [[nodiscard]] bool isEmpty() const { return m_requestLines.empty(); }
+    [[nodiscard]] std::size_t skippedLines() const { return m_skippedLines; }
     // One line for each decision, and the cause at the end.
     [[nodiscard]] std::string render() const;
 
@@ -42,12 +42,12 @@
     [[nodiscard]] std::vector<Line> relevantLines() const;
 
     std::string m_requestId;
-    std::vector<Line> m_decisions;
+    std::vector<Line> m_requestLines;
     // Of all processes: stores, targets, starts and stops.
-    std::vector<Line> m_beliefs;
+    std::vector<Line> m_contextLines;
     // Seconds since 1970 at the boot of each process's machine.
-    std::map<std::string, double> m_bootAt;
-    std::size_t m_leftOut{0};
+    std::map<std::string, double> m_bootTimes;
+    std::size_t m_skippedLines{0};
 };
 
 } // namespace Wisteria
--- a/Libraries/LibGateway/TargetAttempt.cpp
+++ b/Libraries/LibGateway/TargetAttempt.cpp
@@ -18,7 +18,7 @@
         m_connection->cancel();
 }
 
-void TargetAttempt::lose(TargetFault fault)
+void TargetAttempt::fail(TargetFault fault)
 {
     auto *listener = takeListener();
     m_connection->cancel();
@@ -29,12 +29,12 @@
 void TargetAttempt::answerHead(const HttpResponseHead &head)
 {
     m_response.head = head;
-    m_origin = m_dialect.judgeAnswer(head, m_id);
-    if (m_origin == AnswerOrigin::Foreign) {
-        lose(TargetFault::InvalidResponse);
+    m_responseClass = m_dialect.classifyResponse(head, m_id);
+    if (m_responseClass == ResponseClass::Untrusted) {
+        fail(TargetFault::InvalidResponse);
         return;
     }
-    m_isStream = m_origin == AnswerOrigin::Target && m_dialect.isEventStream(head);
+    m_isStream = m_responseClass == ResponseClass::Executed && m_dialect.isEventStream(head);
     if (m_isStream && m_listener)
         m_listener->streamOpened(head);
 }
@@ -42,44 +42,44 @@
 void TargetAttempt::answerBody(std::string_view data)
 {
     if (m_isStream) {
-        takeEvents(data);
+        handleEvents(data);
         return;
     }
     m_response.body += data;
-    if (m_response.body.size() > maxAnswerBytes)
-        lose(TargetFault::InvalidResponse);
+    if (m_response.body.size() > maxResponseBytes)
+        fail(TargetFault::InvalidResponse);
 }
 
-void TargetAttempt::takeEvents(std::string_view data)
+void TargetAttempt::handleEvents(std::string_view data)
 {
     auto events = m_splitter.feed(data);
     if (!events) {
-        lose(TargetFault::InvalidResponse);
+        fail(TargetFault::InvalidResponse);
         return;
     }
-    std::vector<RawEvent> fresh;
+    std::vector<RawEvent> newEvents;
     for (auto &it : *events) {
         if (!it.number) {
-            lose(TargetFault::InvalidResponse);
+            fail(TargetFault::InvalidResponse);
             return;
         }
         if (m_lastEvent && *it.number <= *m_lastEvent)
             continue;
         if (m_lastEvent && it.number->value() != m_lastEvent->value() + 1) {
-            lose(TargetFault::InvalidResponse);
+            fail(TargetFault::InvalidResponse);
             return;
         }
         m_lastEvent = it.number;
-        fresh.push_back(std::move(it));
+        newEvents.push_back(std::move(it));
     }
-    if (!fresh.empty() && m_listener)
-        m_listener->eventsArrived(fresh);
+    if (!newEvents.empty() && m_listener)
+        m_listener->eventsReceived(newEvents);
 }
 
 void TargetAttempt::answerEnded()
 {
     if (m_isStream && m_splitter.hasPartialEvent()) {
-        lose(TargetFault::InvalidResponse);
+        fail(TargetFault::InvalidResponse);
         return;
     }
     auto *listener = takeListener();
@@ -87,12 +87,12 @@
         return;
     if (m_isStream)
         listener->streamEnded();
-    else if (m_origin == AnswerOrigin::NotRunReplaced)
+    else if (m_responseClass == ResponseClass::RejectedReplaced)
         listener->attemptNotRun(TargetFault::Gone, true);
-    else if (m_origin == AnswerOrigin::NotRunFull)
+    else if (m_responseClass == ResponseClass::RejectedFull)
         listener->attemptNotRun(TargetFault::InvalidResponse, true);
     else
-        listener->answerArrived(std::move(m_response));
+        listener->responseReceived(std::move(m_response));
 }
 
 void TargetAttempt::answerFailed(HttpFailure failure)
@@ -101,9 +101,9 @@
     if (!listener)
         return;
     // A refusal in its head is the target's word, whatever happens to its body.
-    if (m_origin == AnswerOrigin::NotRunReplaced)
+    if (m_responseClass == ResponseClass::RejectedReplaced)
         listener->attemptNotRun(TargetFault::Gone, true);
-    else if (m_origin == AnswerOrigin::NotRunFull)
+    else if (m_responseClass == ResponseClass::RejectedFull)
         listener->attemptNotRun(TargetFault::InvalidResponse, true);
     else if (failure == HttpFailure::Refused)
         listener->attemptNotRun(TargetFault::Gone, false);
--- a/Libraries/LibGateway/TargetAttempt.h
+++ b/Libraries/LibGateway/TargetAttempt.h
@@ -21,9 +21,9 @@
     // `wasRefused` tells that a target saw the request and said that it did not run it.
     virtual void attemptNotRun(TargetFault, bool wasRefused) = 0;
     virtual void streamOpened(const HttpResponseHead &) = 0;
-    virtual void eventsArrived(const std::vector<RawEvent> &) = 0;
+    virtual void eventsReceived(const std::vector<RawEvent> &) = 0;
     virtual void streamEnded() = 0;
-    virtual void answerArrived(HttpResponse) = 0;
+    virtual void responseReceived(HttpResponse) = 0;
     virtual void attemptLost(TargetFault) = 0;
 };
 
@@ -32,7 +32,7 @@
 public:
     // Plain answers are collected up to this size. Source: above the largest answer of the users' sheets by
     // far.
-    static constexpr std::size_t maxAnswerBytes = std::size_t{4} << 20U;
+    static constexpr std::size_t maxResponseBytes = std::size_t{4} << 20U;
 
     TargetAttempt(const Dialect &dialect, RequestId id, AttemptListener &listener)
         : m_dialect(dialect), m_id(std::move(id)), m_listener(&listener)
@@ -52,8 +52,8 @@
     void answerFailed(HttpFailure) override;
 
 private:
-    void lose(TargetFault);
-    void takeEvents(std::string_view);
+    void fail(TargetFault);
+    void handleEvents(std::string_view);
     AttemptListener *takeListener() { return std::exchange(m_listener, nullptr); }
 
     const Dialect &m_dialect;
@@ -63,7 +63,7 @@
     std::shared_ptr<HttpClientConnection> m_connection;
     std::optional<EventNumber> m_lastEvent;
     HttpResponse m_response;
-    AnswerOrigin m_origin{AnswerOrigin::Foreign};
+    ResponseClass m_responseClass{ResponseClass::Untrusted};
     bool m_isStream{false};
     EventSplitter m_splitter;
 };
--- a/Libraries/LibGateway/TargetConnections.cpp
+++ b/Libraries/LibGateway/TargetConnections.cpp
@@ -10,10 +10,10 @@
 
 // Sent bytes that a target leaves unacknowledged for this long end the connection. Source: several
 // retransmissions on the users' links.
-constexpr absl::Duration targetSilence = absl::Milliseconds(1500);
+constexpr absl::Duration unacknowledgedTimeout = absl::Milliseconds(1500);
 
 // Answers of calls to targets are a few fields.
-constexpr std::size_t maxCallAnswerBytes = std::size_t{64} * 1024;
+constexpr std::size_t maxControlResponseBytes = std::size_t{64} * 1024;
 
 } // namespace detail
 
@@ -26,9 +26,10 @@
             return nullptr;
         if (entry.pool)
             entry.pool->closeIdle();
-        entry = Entry{record.address, record.startedAtMs,
-                      std::make_shared<HttpPool>(m_context, *endpoint,
-                                                 SocketLimits{.unacknowledged = detail::targetSilence})};
+        entry =
+            Entry{record.address, record.startedAtMs,
+                  std::make_shared<HttpPool>(m_context, *endpoint,
+                                             SocketLimits{.unacknowledged = detail::unacknowledgedTimeout})};
     }
     return entry.pool->take(now);
 }
@@ -37,7 +38,7 @@
 {
     const auto endpoint = parseEndpoint(record.address);
     if (!endpoint) {
-        handler(ProbeResult::Refuses);
+        handler(ProbeResult::Refused);
         return;
     }
     struct Probe
@@ -61,19 +62,19 @@
     state->timer.expires_after(absl::ToChronoNanoseconds(connectTimeout));
     state->timer.async_wait([state](const auto &ec) {
         if (!ec)
-            state->finish(ProbeResult::Silent);
+            state->finish(ProbeResult::TimedOut);
     });
     state->socket.async_connect(*endpoint, [state](const auto &ec) {
         if (!ec)
-            state->finish(ProbeResult::Accepts);
+            state->finish(ProbeResult::Connected);
         else
-            state->finish(ec == boost::asio::error::connection_refused ? ProbeResult::Refuses
-                                                                       : ProbeResult::Silent);
+            state->finish(ec == boost::asio::error::connection_refused ? ProbeResult::Refused
+                                                                       : ProbeResult::TimedOut);
     });
 }
 
-void TargetConnections::call(const ForwardingTarget &record, const TargetCall &target, absl::Duration timeout,
-                             HttpCallHandler handler)
+void TargetConnections::sendControlRequest(const ForwardingTarget &record, const ControlRequest &request,
+                                           absl::Duration timeout, HttpCallHandler handler)
 {
     auto connection = take(record, monotonicNow());
     if (!connection) {
@@ -82,10 +83,10 @@
     }
     HttpFields fields;
     fields.set("Host", record.address);
-    if (!target.body.empty())
+    if (!request.body.empty())
         fields.set("Content-Type", "application/json");
-    callHttp(m_context, connection, serializeRequest(target.method, target.path, fields, target.body),
-             timeout, detail::maxCallAnswerBytes, std::move(handler));
+    callHttp(m_context, connection, serializeRequest(request.method, request.path, fields, request.body),
+             timeout, detail::maxControlResponseBytes, std::move(handler));
 }
 
 void TargetConnections::remove(const TargetId &id)
--- a/Libraries/LibGateway/TargetConnections.h
+++ b/Libraries/LibGateway/TargetConnections.h
@@ -13,7 +13,7 @@
 
 namespace Wisteria {
 
-enum class ProbeResult { Accepts, Refuses, Silent };
+enum class ProbeResult { Connected, Refused, TimedOut };
 
 class TargetConnections
 {
@@ -29,7 +29,8 @@
     // Tells whether the target accepts connections at all.
     void probe(const ForwardingTarget &, std::function<void(ProbeResult)>);
     // Calls the target on a kept connection.
-    void call(const ForwardingTarget &, const TargetCall &, absl::Duration timeout, HttpCallHandler);
+    void sendControlRequest(const ForwardingTarget &, const ControlRequest &, absl::Duration timeout,
+                            HttpCallHandler);
     void remove(const TargetId &);
     // Closes idle connections whose peer is about to do so.
     void dropOld(absl::Time now);
--- a/Libraries/LibGateway/ViewRelay.cpp
+++ b/Libraries/LibGateway/ViewRelay.cpp
@@ -20,9 +20,9 @@
 constexpr int statusNoContent = 204;
 constexpr std::string_view viewsPath = "/v1/peer/views/";
 // Routers ask from a few revisions only; more than this are not kept encoded.
-constexpr std::size_t maxEncoded = 8;
+constexpr std::size_t maxEncodedResponses = 8;
 
-std::string_view failureName(HttpFailure failure)
+std::string_view httpFailureName(HttpFailure failure)
 {
     switch (failure) {
     case HttpFailure::NotConnected:
@@ -60,15 +60,15 @@
     return ViewRequest{parts.first, ObjectVersion(after)};
 }
 
-HttpResponse ViewRelay::answer(ObjectVersion after)
+HttpResponse ViewRelay::responseFor(ObjectVersion after)
 {
     const auto revision = m_view.changeRevision();
     if (after.value() != 0 && after >= revision)
         return makeResponse(detail::statusNoContent, "", "");
-    if (m_encodedAt != revision || m_encoded.size() >= detail::maxEncoded)
-        m_encoded.clear();
-    m_encodedAt = revision;
-    auto &encoded = m_encoded[after];
+    if (m_encodedRevision != revision || m_encodedResponses.size() >= detail::maxEncodedResponses)
+        m_encodedResponses.clear();
+    m_encodedRevision = revision;
+    auto &encoded = m_encodedResponses[after];
     if (encoded.empty())
         encoded = compressBytes(m_view.changesAfter(after).dump());
     auto response = makeResponse(detail::statusOk, "application/json", encoded);
@@ -90,7 +90,7 @@
     });
 }
 
-void ViewRelay::pullWhole(const RouterRegistry::Member &peer)
+void ViewRelay::pullFullView(const RouterRegistry::Member &peer)
 {
     if (!std::exchange(m_isPulling, true))
         pull(peer, ObjectVersion());
@@ -112,14 +112,14 @@
              serializeRequest("GET", path, fields, ""), m_callTimeout, maxViewBytes,
              [this, id = peer.id](const HttpCallResult &result) {
                  m_isPulling = false;
-                 take(id, result);
+                 handlePullResult(id, result);
              });
 }
 
-void ViewRelay::take(const RouterId &id, const HttpCallResult &result)
+void ViewRelay::handlePullResult(const RouterId &id, const HttpCallResult &result)
 {
     if (!result)
-        return logFailure(id, detail::failureName(result.error()));
+        return logFailure(id, detail::httpFailureName(result.error()));
     if (result->head.status == detail::statusNoContent)
         return;
     if (result->head.status != detail::statusOk)
@@ -131,8 +131,8 @@
     if (!json)
         return logFailure(id, json.error().detail);
     const auto before = m_view.changeRevision();
-    if (const auto taken = m_view.takeRelayed(*json); !taken)
-        return logFailure(id, taken.error().detail);
+    if (const auto merged = m_view.mergePeerView(*json); !merged)
+        return logFailure(id, merged.error().detail);
     if (m_view.changeRevision() > before) {
         m_log.write("relayed",
                     {{"router", id.value()},
--- a/Libraries/LibGateway/ViewRelay.h
+++ b/Libraries/LibGateway/ViewRelay.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include <LibForwarding/RouterRegistry.h>
-#include <LibGateway/Directory.h>
+#include <LibGateway/DirectoryView.h>
 #include <LibNet/HttpClient.h>
 
 #include <boost/asio/io_context.hpp>
@@ -46,16 +46,16 @@
     [[nodiscard]] static std::optional<ViewRequest> readRequest(std::string_view path);
     [[nodiscard]] const std::string &name() const { return m_name; }
     // 204 when nothing has changed after the revision.
-    [[nodiscard]] HttpResponse answer(ObjectVersion after);
+    [[nodiscard]] HttpResponse responseFor(ObjectVersion after);
 
     // The router said that its view has this revision.
     void noteRevision(const RouterRegistry::Member &, ObjectVersion);
     // Compares the whole view with the other router's.
-    void pullWhole(const RouterRegistry::Member &);
+    void pullFullView(const RouterRegistry::Member &);
 
 private:
     void pull(const RouterRegistry::Member &, ObjectVersion after);
-    void take(const RouterId &, const HttpCallResult &);
+    void handlePullResult(const RouterId &, const HttpCallResult &);
     void logFailure(const RouterId &, std::string_view detail);
 
     boost::asio::io_context &m_context;
@@ -69,9 +69,9 @@
     RouterRegistry::Member m_newerPeer;
     // A call to another router is under way or about to begin.
     bool m_isPulling{false};
-    // Encoded answers by the revision asked from. Invariant: made at m_encodedAt.
-    std::map<ObjectVersion, std::string> m_encoded;
-    ObjectVersion m_encodedAt;
+    // Encoded answers by the revision asked from. Invariant: made at m_encodedRevision.
+    std::map<ObjectVersion, std::string> m_encodedResponses;
+    ObjectVersion m_encodedRevision;
 };
 
 } // namespace Wisteria
--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -24,7 +24,7 @@
 public:
     SettingsReloader(boost::asio::io_context &context, Gateway &gateway, std::string file)
         : m_signals(context, SIGHUP), m_timer(context), m_gateway(gateway), m_file(std::move(file)),
-          m_text(readTextFile(m_file).value_or(""))
+          m_lastText(readTextFile(m_file).value_or(""))
     {
         waitForSignal();
         waitForChange();
@@ -47,7 +47,7 @@
         m_timer.async_wait([this](const auto &ec) {
             if (ec)
                 return;
-            if (const auto text = readTextFile(m_file); text && *text != m_text)
+            if (const auto text = readTextFile(m_file); text && *text != m_lastText)
                 reload();
             waitForChange();
         });
@@ -58,7 +58,7 @@
         const auto text = readTextFile(m_file);
         const auto settings = text ? gatewaySettingsFromToml(*text, m_file)
                                    : ErrorOr<GatewaySettings>(tl::unexpected(text.error()));
-        m_text = text.value_or(m_text);
+        m_lastText = text.value_or(m_lastText);
         if (settings)
             m_gateway.reload(*settings);
         else
@@ -70,7 +70,7 @@
     Gateway &m_gateway;
     std::string m_file;
     // The text that was taken last.
-    std::string m_text;
+    std::string m_lastText;
 };
 
 int serve(const GatewaySettings &settings, const std::string &file)
@@ -93,7 +93,7 @@
     boost::asio::signal_set stopSignals(context, SIGTERM, SIGINT);
     stopSignals.async_wait([&](const auto &ec, int) {
         if (!ec)
-            (*gateway)->startStop();
+            (*gateway)->startShutdown();
     });
     context.run();
     return exitOk;
--- a/Tests/LibGateway/FakeViews.h
+++ b/Tests/LibGateway/FakeViews.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include <LibGateway/Directory.h>
+#include <LibGateway/DirectoryView.h>
 
 #include <unistd.h>
 
--- a/Tests/LibGateway/TestDirectoryView.cpp
+++ b/Tests/LibGateway/TestDirectoryView.cpp
@@ -31,7 +31,7 @@
              ObjectVersion(4)});
         CPPUNIT_ASSERT((one.listener.versions == std::vector<std::uint64_t>{1, 4}));
         detail::ViewHost other(DirectoryKind::Configuration);
-        CPPUNIT_ASSERT(other.view.takeRelayed(one.view.changesAfter(ObjectVersion(0))));
+        CPPUNIT_ASSERT(other.view.mergePeerView(one.view.changesAfter(ObjectVersion(0))));
         CPPUNIT_ASSERT((other.listener.versions == std::vector<std::uint64_t>{4}));
     }
 
@@ -63,7 +63,7 @@
         one.store.answerWatch({{detail::object("b", 2, "1.1.1.1:2")}, ObjectVersion(2)});
         const auto changes = one.view.changesAfter(other.view.changeRevision());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes["objects"].size());
-        CPPUNIT_ASSERT(other.view.takeRelayed(changes));
+        CPPUNIT_ASSERT(other.view.mergePeerView(changes));
         CPPUNIT_ASSERT(other.listener.targets == one.listener.targets);
         CPPUNIT_ASSERT(other.view.changeRevision() == one.view.changeRevision());
     }
@@ -77,7 +77,7 @@
         DirectoryObject removal = detail::object("a", 2, nullptr);
         removal.isRemoved = true;
         one.store.answerWatch({{removal}, ObjectVersion(2)});
-        CPPUNIT_ASSERT(other.view.takeRelayed(one.view.changesAfter(other.view.changeRevision())));
+        CPPUNIT_ASSERT(other.view.mergePeerView(one.view.changesAfter(other.view.changeRevision())));
         CPPUNIT_ASSERT(other.listener.targets.empty());
     }
 
@@ -91,7 +91,7 @@
             {{detail::object("gone", 1, "1.1.1.1:1"), detail::object("stays", 2, "1.1.1.1:2")},
              ObjectVersion(3)});
         fresh.store.answerList({{detail::object("stays", 2, "1.1.1.1:2")}, ObjectVersion(5)});
-        CPPUNIT_ASSERT(other.view.takeRelayed(fresh.view.changesAfter(other.view.changeRevision())));
+        CPPUNIT_ASSERT(other.view.mergePeerView(fresh.view.changesAfter(other.view.changeRevision())));
         CPPUNIT_ASSERT(other.listener.targets == fresh.listener.targets);
     }
 
@@ -102,12 +102,12 @@
         one.store.answerList({{detail::object("keep", 1, "1.1.1.1:1")}, ObjectVersion(1)});
         other.store.answerList({{detail::object("old", 1, "1.1.1.1:9")}, ObjectVersion(1)});
         DirectoryBatch batch;
-        constexpr std::uint64_t many = 2 * DirectoryView::rememberedChanges;
+        constexpr std::uint64_t many = 2 * DirectoryView::changeLogCapacity;
         for (std::uint64_t n = 0; n < many; ++n)
             batch.objects.push_back(detail::object("t" + std::to_string(n), 2 + n, "1.1.1.1:2"));
         batch.revision = ObjectVersion(2 + many);
         one.store.answerWatch(std::move(batch));
-        CPPUNIT_ASSERT(other.view.takeRelayed(one.view.changesAfter(other.view.changeRevision())));
+        CPPUNIT_ASSERT(other.view.mergePeerView(one.view.changesAfter(other.view.changeRevision())));
         CPPUNIT_ASSERT(other.listener.targets == one.listener.targets);
     }
 
@@ -119,7 +119,7 @@
                                  R"({"revision":-9,"objects":[],"complete":true})",
                                  R"({"revision":9,"objects":[{"name":4}],"complete":true})",
                                  R"({"revision":9,"objects":[{"name":"x"}],"complete":true})"}) {
-            CPPUNIT_ASSERT(!one.view.takeRelayed(nlohmann::json::parse(text)));
+            CPPUNIT_ASSERT(!one.view.mergePeerView(nlohmann::json::parse(text)));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.listener.targets.size());
     }
--- a/Tests/LibGateway/TestRequestStory.cpp
+++ b/Tests/LibGateway/TestRequestStory.cpp
@@ -1,6 +1,6 @@
 // The story of a request from the logs of several processes.
 
-#include <LibGateway/RequestStory.h>
+#include <LibGateway/RequestTimeline.h>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -20,14 +20,14 @@
 public:
     void brokenStreamIsToldInOrder()
     {
-        RequestStory story("r1");
-        story.addLine(
+        RequestTimeline timeline("r1");
+        timeline.addLine(
             R"({"event":"attempt","process":"g1","request":"r1","number":1,"target":"e1","t":10.0})");
-        story.addLine(
+        timeline.addLine(
             R"({"event":"attempt","process":"g1","request":"r2","number":1,"target":"e1","t":10.1})");
-        story.addLine(
+        timeline.addLine(
             R"({"event":"finished","process":"g1","request":"r1","outcome":"attempts_used_up","status":0,"t":12.5})");
-        const auto text = story.render();
+        const auto text = timeline.render();
         CPPUNIT_ASSERT(text.find("+0.000 s    g1  attempt number=1 target=e1") != std::string::npos);
         CPPUNIT_ASSERT(text.find("+2.500 s    g1  finished") != std::string::npos);
         CPPUNIT_ASSERT(text.find("cause: attempts_used_up: it was lost at as many targets")
@@ -37,14 +37,16 @@
 
     void beliefsOfItsTargetsAreTold()
     {
-        RequestStory story("r1");
-        story.addLine(R"({"event":"store_lost","process":"g1","kind":"targets","t":7.5})");
-        story.addLine(R"({"event":"store_lost","process":"g2","kind":"targets","t":9.9})");
-        story.addLine(R"({"event":"target_verified","process":"g1","target":"e1","fault":"gone","t":9.5})");
-        story.addLine(R"({"event":"target_verified","process":"g1","target":"e2","fault":"gone","t":9.6})");
-        story.addLine(R"({"event":"store_lost","process":"g1","kind":"routers","t":1.0})");
-        story.addLine(R"({"event":"attempt","process":"g1","request":"r1","target":"e1","t":10.0})");
-        const auto text = story.render();
+        RequestTimeline timeline("r1");
+        timeline.addLine(R"({"event":"store_lost","process":"g1","kind":"targets","t":7.5})");
+        timeline.addLine(R"({"event":"store_lost","process":"g2","kind":"targets","t":9.9})");
+        timeline.addLine(
+            R"({"event":"target_verified","process":"g1","target":"e1","fault":"gone","t":9.5})");
+        timeline.addLine(
+            R"({"event":"target_verified","process":"g1","target":"e2","fault":"gone","t":9.6})");
+        timeline.addLine(R"({"event":"store_lost","process":"g1","kind":"routers","t":1.0})");
+        timeline.addLine(R"({"event":"attempt","process":"g1","request":"r1","target":"e1","t":10.0})");
+        const auto text = timeline.render();
         CPPUNIT_ASSERT(text.find("-2.500 s  ~ g1  store_lost kind=targets") != std::string::npos);
         CPPUNIT_ASSERT(text.find("-0.500 s  ~ g1  target_verified") != std::string::npos);
         // Another target, another process, long before.
@@ -56,12 +58,13 @@
     void processesAreOrderedByWallClock()
     {
         // The caller came back to another router, whose machine has run for longer.
-        RequestStory story("r1");
-        story.addLine(R"({"event":"started","process":"g2","unix_s":1000.0,"t":500.0})");
-        story.addLine(R"({"event":"finished","process":"g2","request":"r1","outcome":"complete","t":507.0})");
-        story.addLine(R"({"event":"started","process":"g1","unix_s":1001.0,"t":3.0})");
-        story.addLine(R"({"event":"refused","process":"g1","request":"r1","reason":"stopping","t":6.0})");
-        const auto text = story.render();
+        RequestTimeline timeline("r1");
+        timeline.addLine(R"({"event":"started","process":"g2","unix_s":1000.0,"t":500.0})");
+        timeline.addLine(
+            R"({"event":"finished","process":"g2","request":"r1","outcome":"complete","t":507.0})");
+        timeline.addLine(R"({"event":"started","process":"g1","unix_s":1001.0,"t":3.0})");
+        timeline.addLine(R"({"event":"refused","process":"g1","request":"r1","reason":"stopping","t":6.0})");
+        const auto text = timeline.render();
         CPPUNIT_ASSERT(text.find("refused") < text.find("finished"));
         CPPUNIT_ASSERT(text.find("+3.000 s    g2  finished") != std::string::npos);
         CPPUNIT_ASSERT(text.find("cause: complete") != std::string::npos);
@@ -69,28 +72,28 @@
 
     void refusalNamesItsCause()
     {
-        RequestStory story("r1");
+        RequestTimeline timeline("r1");
         // As the users' bench prints it, with a time and a name in front.
-        story.addLine(
+        timeline.addLine(
             R"(  4.1 front-1 {"event":"refused","process":"g1","request":"r1","reason":"no_configuration","t":6.0})");
-        CPPUNIT_ASSERT(story.render().find("it did not run") != std::string::npos);
+        CPPUNIT_ASSERT(timeline.render().find("it did not run") != std::string::npos);
     }
 
     void missingFinalWordIsSaid()
     {
-        RequestStory story("r1");
-        CPPUNIT_ASSERT(story.isEmpty());
-        story.addLine(R"({"event":"attempt","process":"g1","request":"r1","target":"e1","t":10.0})");
-        CPPUNIT_ASSERT(story.render().find("no final word") != std::string::npos);
+        RequestTimeline timeline("r1");
+        CPPUNIT_ASSERT(timeline.isEmpty());
+        timeline.addLine(R"({"event":"attempt","process":"g1","request":"r1","target":"e1","t":10.0})");
+        CPPUNIT_ASSERT(timeline.render().find("no final word") != std::string::npos);
     }
 
     void otherLinesAreCounted()
     {
-        RequestStory story("r1");
+        RequestTimeline timeline("r1");
         for (const auto *line : {"", "plain text", "{", "[]", R"({"event":1,"process":"g","t":1})",
                                  R"({"event":"attempt","process":"g","t":"x"})"})
-            story.addLine(line);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, story.leftOut());
+            timeline.addLine(line);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, timeline.skippedLines());
     }
 };
 
--- a/Tests/LibGateway/TestViewRelay.cpp
+++ b/Tests/LibGateway/TestViewRelay.cpp
@@ -44,7 +44,7 @@
         const auto target = request.target();
         const auto view = ViewRelay::readRequest({target.data(), target.size()});
         if (!m_isMute && view && view->view == m_relay.name())
-            caller->respond(m_relay.answer(view->after));
+            caller->respond(m_relay.responseFor(view->after));
         else
             m_held.push_back(caller);
     }
@@ -120,7 +120,7 @@
         detail::ViewHost own(DirectoryKind::Targets);
         own.store.answerList({{detail::object("large", 1, content)}, ObjectVersion(1)});
         ViewRelay relay(m_context, own.view, "targets", absl::Seconds(1), own.log, own.random);
-        const auto answer = relay.answer(ObjectVersion());
+        const auto answer = relay.responseFor(ObjectVersion());
         CPPUNIT_ASSERT(answer.body.size() * leastRatio < content.dump().size());
         CPPUNIT_ASSERT(expandBytes(answer.body, ViewRelay::maxViewBytes)
                        == own.view.changesAfter(ObjectVersion()).dump());
@@ -156,8 +156,8 @@
         detail::ViewHost own(DirectoryKind::Targets);
         own.store.answerList({{detail::object("a", 5, "1.1.1.1:1")}, ObjectVersion(5)});
         ViewRelay relay(m_context, own.view, "targets", absl::Seconds(1), own.log, own.random);
-        CPPUNIT_ASSERT_EQUAL(204, relay.answer(ObjectVersion(5)).head.status);
-        CPPUNIT_ASSERT_EQUAL(200, relay.answer(ObjectVersion(4)).head.status);
+        CPPUNIT_ASSERT_EQUAL(204, relay.responseFor(ObjectVersion(5)).head.status);
+        CPPUNIT_ASSERT_EQUAL(200, relay.responseFor(ObjectVersion(4)).head.status);
     }
 
     void otherPathsAreNotCalls()
--- a/Tests/Platform/TestAdapter.cpp
+++ b/Tests/Platform/TestAdapter.cpp
@@ -53,11 +53,11 @@
         for (const auto *name : {"Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant", "Expect-Instance"})
             fields.set(name, "forged");
         const auto request = *m_dialect.readRequest(fields);
-        TargetOrder order;
-        order.target = TargetId("i-1");
-        order.timeLeft = absl::Milliseconds(700);
-        order.workspace = WorkspaceName("w");
-        m_dialect.writeTargetFields(fields, request, order);
+        AttemptParameters parameters;
+        parameters.target = TargetId("i-1");
+        parameters.timeLeft = absl::Milliseconds(700);
+        parameters.workspace = WorkspaceName("w");
+        m_dialect.writeTargetFields(fields, request, parameters);
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), value(fields, "Expect-Instance"));
         CPPUNIT_ASSERT_EQUAL(std::string("w"), value(fields, "Tenant"));
         CPPUNIT_ASSERT_EQUAL(std::string("700"), value(fields, "Deadline-Ms"));
@@ -72,39 +72,41 @@
         HttpResponseHead head;
         head.status = 200;
         head.fields.set("Request-Id", "9c41");
-        CPPUNIT_ASSERT(m_dialect.judgeAnswer(head, id) == AnswerOrigin::Foreign);
+        CPPUNIT_ASSERT(m_dialect.classifyResponse(head, id) == ResponseClass::Untrusted);
         head.fields.set("Engine-Seal", "s");
-        CPPUNIT_ASSERT(m_dialect.judgeAnswer(head, id) == AnswerOrigin::Target);
-        CPPUNIT_ASSERT(m_dialect.judgeAnswer(head, RequestId("other")) == AnswerOrigin::Foreign);
+        CPPUNIT_ASSERT(m_dialect.classifyResponse(head, id) == ResponseClass::Executed);
+        CPPUNIT_ASSERT(m_dialect.classifyResponse(head, RequestId("other")) == ResponseClass::Untrusted);
         head.fields.set("Content-Encoding", "gzip");
-        CPPUNIT_ASSERT(m_dialect.judgeAnswer(head, id) == AnswerOrigin::Foreign);
+        CPPUNIT_ASSERT(m_dialect.classifyResponse(head, id) == ResponseClass::Untrusted);
         HttpResponseHead refused;
         refused.status = 503;
         refused.fields.set("Not-Executed", "1");
-        CPPUNIT_ASSERT(m_dialect.judgeAnswer(refused, id) == AnswerOrigin::NotRunFull);
+        CPPUNIT_ASSERT(m_dialect.classifyResponse(refused, id) == ResponseClass::RejectedFull);
         refused.status = 421;
-        CPPUNIT_ASSERT(m_dialect.judgeAnswer(refused, id) == AnswerOrigin::NotRunReplaced);
+        CPPUNIT_ASSERT(m_dialect.classifyResponse(refused, id) == ResponseClass::RejectedReplaced);
     }
 
     void copiesAreNamed()
     {
         const auto request = *m_dialect.readRequest(callerFields());
         auto fields = callerFields();
-        TargetOrder order;
-        order.copyHolder = "10.0.0.2:80";
-        order.continueFrom = CopySource{"10.0.0.1:80", ""};
-        m_dialect.writeTargetFields(fields, request, order);
+        AttemptParameters parameters;
+        parameters.copyHolder = "10.0.0.2:80";
+        parameters.resumeFrom = CopySource{"10.0.0.1:80", ""};
+        m_dialect.writeTargetFields(fields, request, parameters);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:80"), value(fields, "Kv-Backup"));
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80/9c41"), value(fields, "Kv-From"));
-        order.continueFrom = CopySource{"10.0.0.1:80", "h7"};
-        m_dialect.writeTargetFields(fields, request, order);
+        parameters.resumeFrom = CopySource{"10.0.0.1:80", "h7"};
+        m_dialect.writeTargetFields(fields, request, parameters);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80/h7"), value(fields, "Kv-From"));
         CPPUNIT_ASSERT(
-            m_dialect.readCopyAnswer(makeResponse(200, "", R"({"handle":"h7","created":4})")).handle == "h7");
-        CPPUNIT_ASSERT(m_dialect.readCopyAnswer(makeResponse(404, "", "")).outcome
+            m_dialect.parseCopyResponse(makeResponse(200, "", R"({"handle":"h7","created":4})")).handle
+            == "h7");
+        CPPUNIT_ASSERT(m_dialect.parseCopyResponse(makeResponse(404, "", "")).outcome
                        == CopyOutcome::Impossible);
-        CPPUNIT_ASSERT(m_dialect.readCopyAnswer(makeResponse(503, "", "")).outcome == CopyOutcome::Refused);
-        CPPUNIT_ASSERT(m_dialect.readCopyAnswer(makeResponse(200, "", "nonsense")).outcome
+        CPPUNIT_ASSERT(m_dialect.parseCopyResponse(makeResponse(503, "", "")).outcome
+                       == CopyOutcome::Refused);
+        CPPUNIT_ASSERT(m_dialect.parseCopyResponse(makeResponse(200, "", "nonsense")).outcome
                        == CopyOutcome::Refused);
     }
 
--- a/Tests/Platform/TestGatewayOnPlatform.cpp
+++ b/Tests/Platform/TestGatewayOnPlatform.cpp
@@ -197,7 +197,7 @@
         bool isDone = false;
         startCall("POST", "/stream/x", "r1", "key", response, isDone);
         m_context->run_for(std::chrono::milliseconds(60));
-        m_gateway->startStop();
+        m_gateway->startShutdown();
         CPPUNIT_ASSERT_EQUAL(503, call("GET", "/-/ready", "").head.status);
         CPPUNIT_ASSERT(runUntil([&] { return isDone; }));
         CPPUNIT_ASSERT_EQUAL(m_fleet.wholeStream(), response.body);
@@ -232,7 +232,7 @@
         settings.readinessListen = settings.callerListen;
         settings.peerListen = freeAddress();
         settings.store = m_store->address();
-        settings.repeats = {.ratio = 0.8, .minRetriesPerWindow = 150, .window = absl::Seconds(10)};
+        settings.retryLimits = {.ratio = 0.8, .minRetriesPerWindow = 150, .window = absl::Seconds(10)};
         m_address = settings.callerListen;
         m_client = std::move(*Platform::StoreClient::create(*m_context, settings.store, absl::Seconds(1)));
         auto gateway = Gateway::create(*m_context, settings,
--- a/Utilities/wisteria-explain/main.cpp
+++ b/Utilities/wisteria-explain/main.cpp
@@ -1,6 +1,6 @@
 // wisteria-explain: prints the story of one request from the logs of gateways.
 
-#include <LibGateway/RequestStory.h>
+#include <LibGateway/RequestTimeline.h>
 
 #include <cxxopts.hpp>
 
@@ -10,14 +10,14 @@
 
 namespace Wisteria::detail {
 
-constexpr int exitWrongUse = 1;
+constexpr int exitUsageError = 1;
 constexpr int exitNotFound = 2;
 
-void readLines(std::istream &in, RequestStory &story)
+void readLines(std::istream &in, RequestTimeline &timeline)
 {
     std::string line;
     while (std::getline(in, line))
-        story.addLine(line);
+        timeline.addLine(line);
 }
 
 int explain(int argc, char **argv)
@@ -39,25 +39,26 @@
     }
     if (arguments.count("help") != 0 || arguments.count("request") == 0) {
         std::cout << options.help();
-        return arguments.count("help") != 0 ? EXIT_SUCCESS : exitWrongUse;
+        return arguments.count("help") != 0 ? EXIT_SUCCESS : exitUsageError;
     }
-    RequestStory story(arguments["request"].as<std::string>());
+    RequestTimeline timeline(arguments["request"].as<std::string>());
     if (arguments.count("log") == 0) {
-        readLines(std::cin, story);
+        readLines(std::cin, timeline);
     } else {
         for (const auto &path : arguments["log"].as<std::vector<std::string>>()) {
             std::ifstream in(path);
             if (!in) {
                 std::cerr << "wisteria-explain: cannot read " << path << "\n";
-                return exitWrongUse;
+                return exitUsageError;
             }
-            readLines(in, story);
+            readLines(in, timeline);
         }
     }
-    std::cout << story.render();
-    if (story.leftOut() > 0)
-        std::cerr << "wisteria-explain: " << story.leftOut() << " lines are no lines of a gateway's log\n";
-    return story.isEmpty() ? exitNotFound : EXIT_SUCCESS;
+    std::cout << timeline.render();
+    if (timeline.skippedLines() > 0)
+        std::cerr << "wisteria-explain: " << timeline.skippedLines()
+                  << " lines are no lines of a gateway's log\n";
+    return timeline.isEmpty() ? exitNotFound : EXIT_SUCCESS;
 }
 
 } // namespace Wisteria::detail
@@ -68,6 +69,6 @@
         return Wisteria::detail::explain(argc, argv);
     } catch (const std::exception &error) {
         std::cerr << "wisteria-explain: " << error.what() << "\n";
-        return Wisteria::detail::exitWrongUse;
+        return Wisteria::detail::exitUsageError;
     }
 }
