--- a/Tests/LibForwarding/TestDeadlineAdmission.cpp
+++ b/Tests/LibForwarding/TestDeadlineAdmission.cpp
@@ -12,14 +12,14 @@
 
 namespace detail {
 
-enum class Rule { FirstComeFirstServed, RefuseWhatCannotEnd };
+enum class AdmissionPolicy { AdmitAll, RejectInfeasible };
 
-struct Outcome
+struct ReplayResult
 {
     int served{0};
     int refused{0};
     // Read for callers who had left by then.
-    std::int64_t tokensInVain{0};
+    std::int64_t wastedPrefillTokens{0};
 };
 
 } // namespace detail
@@ -27,16 +27,16 @@
 class TestDeadlineAdmission : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestDeadlineAdmission);
-    CPPUNIT_TEST(promptThatCannotBeReadInTimeCannotEnd);
-    CPPUNIT_TEST(expectedAnswerCountsWherePromptsWait);
-    CPPUNIT_TEST(freeTargetIsTriedDespiteTheGuess);
-    CPPUNIT_TEST(backlogOfTheBestSoundTargetCounts);
-    CPPUNIT_TEST(callersThatComeBackAtOnceAreServedBetter);
-    CPPUNIT_TEST(calmLoadIsNeverRefused);
+    CPPUNIT_TEST(promptThatCannotBePrefilledInTimeIsRejected);
+    CPPUNIT_TEST(expectedOutputCountsWhenPromptsAreQueued);
+    CPPUNIT_TEST(idleTargetIsUsedDespiteExpectedOutput);
+    CPPUNIT_TEST(backlogIsThatOfBestHealthyTarget);
+    CPPUNIT_TEST(rejectionImprovesGoodputAfterOutage);
+    CPPUNIT_TEST(moderateLoadIsNotRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void promptThatCannotBeReadInTimeCannotEnd()
+    void promptThatCannotBePrefilledInTimeIsRejected()
     {
         const GenerationSize size{.promptTokens = 8000, .maxOutputTokens = 1000};
         CPPUNIT_ASSERT(canEnd(size, absl::ZeroDuration(), absl::Seconds(1)));
@@ -45,7 +45,7 @@
         CPPUNIT_ASSERT(!canEnd(size, absl::InfiniteDuration(), absl::Seconds(100)));
     }
 
-    void expectedAnswerCountsWherePromptsWait()
+    void expectedOutputCountsWhenPromptsAreQueued()
     {
         const GenerationSize size{
             .promptTokens = 8000, .maxOutputTokens = 1000, .expectedOutputTokens = 1000};
@@ -54,7 +54,7 @@
     }
 
     // Found by inc-2249 and inc-8eba: callers with little patience left were refused while targets were free.
-    void freeTargetIsTriedDespiteTheGuess()
+    void idleTargetIsUsedDespiteExpectedOutput()
     {
         const GenerationSize size{
             .promptTokens = 8000, .maxOutputTokens = 1000, .expectedOutputTokens = 1000};
@@ -62,33 +62,33 @@
         CPPUNIT_ASSERT(!canEnd(size, absl::ZeroDuration(), absl::Milliseconds(999)));
     }
 
-    void backlogOfTheBestSoundTargetCounts()
+    void backlogIsThatOfBestHealthyTarget()
     {
         auto pool = makePool();
         TargetRequirements need{.service = ServiceName("s"), .isModelService = true};
-        for (int n = 0; n < targets; ++n)
+        for (int n = 0; n < targetCount; ++n)
             pool.addLoad(id(n), {.pendingPrefillTokens = std::int64_t{8000} * (n + 1)});
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::Seconds(1));
         pool.recordFault(id(0), TargetFault::Unresponsive, m_start);
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::Seconds(2));
-        for (int n = 1; n < targets; ++n)
+        for (int n = 1; n < targetCount; ++n)
             pool.recordFault(id(n), TargetFault::Gone, m_start);
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::InfiniteDuration());
     }
 
     // Load pattern: an outage ends, and 60 callers with 2 to 7 s of patience left come back to 4 targets
     // within half a second; each target reads one prompt a second.
-    void callersThatComeBackAtOnceAreServedBetter()
+    void rejectionImprovesGoodputAfterOutage()
     {
-        const auto before = replayReturn(detail::Rule::FirstComeFirstServed);
-        const auto after = replayReturn(detail::Rule::RefuseWhatCannotEnd);
+        const auto before = replayReconnectBurst(detail::AdmissionPolicy::AdmitAll);
+        const auto after = replayReconnectBurst(detail::AdmissionPolicy::RejectInfeasible);
         CPPUNIT_ASSERT(after.served > before.served);
-        CPPUNIT_ASSERT(after.tokensInVain * 4 < before.tokensInVain);
+        CPPUNIT_ASSERT(after.wastedPrefillTokens * 4 < before.wastedPrefillTokens);
         CPPUNIT_ASSERT_EQUAL(0, before.refused);
         CPPUNIT_ASSERT(after.refused > 0);
     }
 
-    void calmLoadIsNeverRefused()
+    void moderateLoadIsNotRejected()
     {
         const GenerationSize size{
             .promptTokens = 14400, .maxOutputTokens = 1400, .expectedOutputTokens = 1400};
@@ -97,7 +97,7 @@
     }
 
 private:
-    static constexpr int targets = 4;
+    static constexpr int targetCount = 4;
 
     static TargetId id(int n) { return TargetId(absl::StrCat("t", n)); }
 
@@ -109,7 +109,7 @@
     TargetPool makePool()
     {
         TargetPool pool(FailureDomain("d"), m_random);
-        for (int n = 0; n < targets; ++n) {
+        for (int n = 0; n < targetCount; ++n) {
             pool.upsert({.id = id(n),
                          .service = ServiceName("s"),
                          .address = absl::StrCat("127.0.0.1:", 1000 + n),
@@ -119,39 +119,39 @@
     }
 
     // Targets read prompts in the order of their arrival, one after the other.
-    detail::Outcome replayReturn(detail::Rule rule)
+    detail::ReplayResult replayReconnectBurst(detail::AdmissionPolicy policy)
     {
         constexpr int callers = 60;
         const GenerationSize size{.promptTokens = 8000, .maxOutputTokens = 300, .expectedOutputTokens = 300};
-        const auto writing = DeadlineAdmission::minTokenTime * size.expectedOutputTokens;
-        const auto reading = absl::Milliseconds(static_cast<double>(size.promptTokens)
-                                                / DeadlineAdmission::prefillTokensPerMs);
+        const auto decodeTime = DeadlineAdmission::minTokenTime * size.expectedOutputTokens;
+        const auto prefillTime = absl::Milliseconds(static_cast<double>(size.promptTokens)
+                                                    / DeadlineAdmission::prefillTokensPerMs);
         m_random = SeededRandom(3);
-        std::map<int, absl::Time> freeAt;
-        detail::Outcome out;
+        std::map<int, absl::Time> availableAt;
+        detail::ReplayResult out;
         for (int n = 0; n < callers; ++n) {
             const auto now = m_start + n * absl::Milliseconds(500) / callers;
             const auto timeLeft = absl::Seconds(2) + absl::Seconds(5) * m_random.fraction();
             int best = 0;
-            for (int target = 1; target < targets; ++target) {
-                if (freeAt[target] < freeAt[best])
+            for (int target = 1; target < targetCount; ++target) {
+                if (availableAt[target] < availableAt[best])
                     best = target;
             }
-            const auto beginsAt = std::max(freeAt[best], now);
-            const bool isRefused =
-                rule == detail::Rule::RefuseWhatCannotEnd && !canEnd(size, beginsAt - now, timeLeft);
+            const auto prefillStart = std::max(availableAt[best], now);
+            const bool isRefused = policy == detail::AdmissionPolicy::RejectInfeasible
+                && !canEnd(size, prefillStart - now, timeLeft);
             if (isRefused) {
                 ++out.refused;
                 continue;
             }
             // A caller that has left before its prompt is read costs nothing more.
-            if (beginsAt >= now + timeLeft)
+            if (prefillStart >= now + timeLeft)
                 continue;
-            freeAt[best] = beginsAt + reading;
-            if (beginsAt + reading + writing <= now + timeLeft)
+            availableAt[best] = prefillStart + prefillTime;
+            if (prefillStart + prefillTime + decodeTime <= now + timeLeft)
                 ++out.served;
             else
-                out.tokensInVain += size.promptTokens;
+                out.wastedPrefillTokens += size.promptTokens;
         }
         return out;
     }
--- a/Tests/LibForwarding/TestDirectorySynchronizer.cpp
+++ b/Tests/LibForwarding/TestDirectorySynchronizer.cpp
@@ -10,49 +10,49 @@
 {
     CPPUNIT_TEST_SUITE(TestDirectorySynchronizer);
     CPPUNIT_TEST(listsThenWatches);
-    CPPUNIT_TEST(lostHistoryIsListedAnew);
-    CPPUNIT_TEST(failedCallsAreSpacedOut);
-    CPPUNIT_TEST(lapsedEntryThatComesBackIsKept);
-    CPPUNIT_TEST(lapsedEntryThatStaysAwayIsRemovedAfterTheGrace);
-    CPPUNIT_TEST(removalIsBelievedWhenOthersHadTheStore);
-    CPPUNIT_TEST(relayedRemovalIsBelievedDuringAnOutage);
-    CPPUNIT_TEST(withoutViewTheStoreIsAskedMoreOften);
-    CPPUNIT_TEST(olderRelayIsIgnored);
-    CPPUNIT_TEST(olderRevisionOfAnObjectIsIgnored);
-    CPPUNIT_TEST(relayedChangesMoveTheRevision);
+    CPPUNIT_TEST(lostHistoryTriggersRelist);
+    CPPUNIT_TEST(failedCallsBackOff);
+    CPPUNIT_TEST(expiredEntryThatReturnsWithinGraceIsKept);
+    CPPUNIT_TEST(expiredEntryIsRemovedAfterGrace);
+    CPPUNIT_TEST(removalAppliesAtOnceWhenOtherRoutersReachedStore);
+    CPPUNIT_TEST(relayedRemovalAppliesDuringOutage);
+    CPPUNIT_TEST(initialListIsRetriedWithShorterBackoff);
+    CPPUNIT_TEST(staleRelayIsIgnored);
+    CPPUNIT_TEST(staleObjectRevisionIsIgnored);
+    CPPUNIT_TEST(relayedChangesAdvanceRevision);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void listsThenWatches()
     {
-        CPPUNIT_ASSERT(has<DirectorySyncActions::StartList>(m_follower.begin()));
-        const auto actions = m_follower.handle(listed({"a", "b"}, 10), m_now);
-        CPPUNIT_ASSERT_EQUAL(2, count<DirectorySyncActions::Apply>(actions));
-        CPPUNIT_ASSERT(has<DirectorySyncActions::StartWatch>(actions));
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartList>(m_follower.begin()));
+        const auto actions = m_follower.handle(listResult({"a", "b"}, 10), m_now);
+        CPPUNIT_ASSERT_EQUAL(2, countActions<DirectorySyncActions::Apply>(actions));
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartWatch>(actions));
         CPPUNIT_ASSERT(m_follower.hasView());
     }
 
-    void lostHistoryIsListedAnew()
+    void lostHistoryTriggersRelist()
     {
-        start();
-        CPPUNIT_ASSERT(has<DirectorySyncActions::StartList>(
+        loadInitialList();
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartList>(
             m_follower.handle(DirectorySyncEvents::RevisionExpired{}, m_now)));
-        const auto actions = m_follower.handle(listed({"a"}, 20), m_now);
-        CPPUNIT_ASSERT_EQUAL(1, count<DirectorySyncActions::Remove>(actions));
+        const auto actions = m_follower.handle(listResult({"a"}, 20), m_now);
+        CPPUNIT_ASSERT_EQUAL(1, countActions<DirectorySyncActions::Remove>(actions));
     }
 
-    void failedCallsAreSpacedOut()
+    void failedCallsBackOff()
     {
-        start();
+        loadInitialList();
         int calls = 0;
         auto now = m_now;
         const auto end = m_now + absl::Seconds(20);
         auto actions = m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
-        CPPUNIT_ASSERT(has<DirectorySyncActions::StoreLost>(actions));
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StoreLost>(actions));
         while (now < end) {
             now += absl::Milliseconds(10);
             actions = m_follower.handle(DirectorySyncEvents::Tick{}, now);
-            if (has<DirectorySyncActions::StartWatch>(actions)) {
+            if (hasAction<DirectorySyncActions::StartWatch>(actions)) {
                 ++calls;
                 (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
             }
@@ -63,7 +63,7 @@
 
     // Load pattern: all routers were ended while the store is away, so that nothing is served until the first
     // list after its return.
-    void withoutViewTheStoreIsAskedMoreOften()
+    void initialListIsRetriedWithShorterBackoff()
     {
         DirectorySynchronizer follower(m_random);
         (void)follower.begin();
@@ -73,7 +73,8 @@
         const auto end = m_now + absl::Seconds(20);
         while (now < end) {
             now += absl::Milliseconds(10);
-            if (!has<DirectorySyncActions::StartList>(follower.handle(DirectorySyncEvents::Tick{}, now)))
+            if (!hasAction<DirectorySyncActions::StartList>(
+                    follower.handle(DirectorySyncEvents::Tick{}, now)))
                 continue;
             CPPUNIT_ASSERT(now - lastCall
                            <= DirectorySynchronizer::maxBackoffWithoutView + absl::Milliseconds(10));
@@ -83,84 +84,86 @@
         CPPUNIT_ASSERT(lastCall > end - absl::Seconds(1));
     }
 
-    void lapsedEntryThatComesBackIsKept()
+    void expiredEntryThatReturnsWithinGraceIsKept()
     {
-        start();
+        loadInitialList();
         (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
-        const auto back = m_now + absl::Seconds(5);
+        const auto storeReturn = m_now + absl::Seconds(5);
         auto actions = m_follower.handle(
-            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)}, back);
-        CPPUNIT_ASSERT(!has<DirectorySyncActions::Remove>(actions));
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
+            storeReturn);
+        CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Remove>(actions));
         actions = m_follower.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(12), false}}, ObjectVersion(12)},
-            back + absl::Seconds(1));
-        actions = m_follower.handle(DirectorySyncEvents::Tick{}, back + absl::Seconds(10));
-        CPPUNIT_ASSERT(!has<DirectorySyncActions::Remove>(actions));
+            storeReturn + absl::Seconds(1));
+        actions = m_follower.handle(DirectorySyncEvents::Tick{}, storeReturn + absl::Seconds(10));
+        CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Remove>(actions));
     }
 
-    void lapsedEntryThatStaysAwayIsRemovedAfterTheGrace()
+    void expiredEntryIsRemovedAfterGrace()
     {
-        start();
+        loadInitialList();
         (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
-        const auto back = m_now + absl::Seconds(5);
+        const auto storeReturn = m_now + absl::Seconds(5);
         (void)m_follower.handle(
-            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)}, back);
-        const auto before = back + DirectorySynchronizer::removalGracePeriod - absl::Milliseconds(1);
+            DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
+            storeReturn);
+        const auto before = storeReturn + DirectorySynchronizer::removalGracePeriod - absl::Milliseconds(1);
         CPPUNIT_ASSERT(
-            !has<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, before)));
-        const auto after = back + DirectorySynchronizer::removalGracePeriod;
+            !hasAction<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, before)));
+        const auto after = storeReturn + DirectorySynchronizer::removalGracePeriod;
         CPPUNIT_ASSERT(
-            has<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, after)));
+            hasAction<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, after)));
     }
 
     // Found by hunt vmc-fleet mix --seed 374452928566: the store had turned away this router only, and the
     // removal of a leaving target was held back past the bound.
-    void removalIsBelievedWhenOthersHadTheStore()
+    void removalAppliesAtOnceWhenOtherRoutersReachedStore()
     {
-        start();
+        loadInitialList();
         (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
         m_follower.setStoreTrustedByOthers(true);
         const auto actions = m_follower.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
             m_now + absl::Seconds(5));
-        CPPUNIT_ASSERT(has<DirectorySyncActions::Remove>(actions));
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::Remove>(actions));
     }
 
-    void relayedRemovalIsBelievedDuringAnOutage()
+    void relayedRemovalAppliesDuringOutage()
     {
-        start();
+        loadInitialList();
         (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
         const auto actions = m_follower.handle(
             DirectorySyncEvents::RelayReceived{{{"a", ObjectVersion(11), true}}, ObjectVersion(11), false},
             m_now);
-        CPPUNIT_ASSERT(has<DirectorySyncActions::Remove>(actions));
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::Remove>(actions));
     }
 
-    void olderRelayIsIgnored()
+    void staleRelayIsIgnored()
     {
-        start();
+        loadInitialList();
         const auto actions = m_follower.handle(
             DirectorySyncEvents::RelayReceived{{{"a", ObjectVersion(3), true}}, ObjectVersion(9), true},
             m_now);
         CPPUNIT_ASSERT(actions.empty());
     }
 
-    void olderRevisionOfAnObjectIsIgnored()
+    void staleObjectRevisionIsIgnored()
     {
-        start();
+        loadInitialList();
         (void)m_follower.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(15), false}}, ObjectVersion(15)}, m_now);
         const auto actions = m_follower.handle(
             DirectorySyncEvents::WatchCompleted{
                 {{"a", ObjectVersion(14), false}, {"a", ObjectVersion(14), true}}, ObjectVersion(16)},
             m_now);
-        CPPUNIT_ASSERT(!has<DirectorySyncActions::Apply>(actions));
-        CPPUNIT_ASSERT(!has<DirectorySyncActions::Remove>(actions));
+        CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Apply>(actions));
+        CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Remove>(actions));
     }
 
-    void relayedChangesMoveTheRevision()
+    void relayedChangesAdvanceRevision()
     {
-        start();
+        loadInitialList();
         (void)m_follower.handle(
             DirectorySyncEvents::RelayReceived{{{"c", ObjectVersion(30), false}}, ObjectVersion(30), false},
             m_now);
@@ -169,8 +172,8 @@
     }
 
 private:
-    static DirectorySyncEvents::ListCompleted listed(const std::vector<std::string> &names,
-                                                     std::uint64_t revision)
+    static DirectorySyncEvents::ListCompleted listResult(const std::vector<std::string> &names,
+                                                         std::uint64_t revision)
     {
         DirectorySyncEvents::ListCompleted out;
         for (const auto &it : names)
@@ -178,13 +181,13 @@
         out.revision = ObjectVersion(revision);
         return out;
     }
-    void start()
+    void loadInitialList()
     {
         (void)m_follower.begin();
-        (void)m_follower.handle(listed({"a", "b"}, 10), m_now);
+        (void)m_follower.handle(listResult({"a", "b"}, 10), m_now);
     }
     template <typename Action>
-    static int count(const DirectorySyncActionList &actions)
+    static int countActions(const DirectorySyncActionList &actions)
     {
         int n = 0;
         for (const auto &it : actions)
@@ -192,9 +195,9 @@
         return n;
     }
     template <typename Action>
-    static bool has(const DirectorySyncActionList &actions)
+    static bool hasAction(const DirectorySyncActionList &actions)
     {
-        return count<Action>(actions) > 0;
+        return countActions<Action>(actions) > 0;
     }
 
     absl::Time m_now{absl::FromUnixSeconds(1000)};
--- a/Tests/LibForwarding/TestForwardedRequest.cpp
+++ b/Tests/LibForwarding/TestForwardedRequest.cpp
@@ -10,14 +10,14 @@
 namespace detail {
 
 // A budget of a fixed number of repeats.
-class CountedGate final : public RetryGate
+class FixedRetryBudget final : public RetryGate
 {
 public:
-    explicit CountedGate(int left) : m_left(left) { }
-    bool tryAcquireRetry(absl::Time) override { return m_left-- > 0; }
+    explicit FixedRetryBudget(int remaining) : m_remaining(remaining) { }
+    bool tryAcquireRetry(absl::Time) override { return m_remaining-- > 0; }
 
 private:
-    int m_left;
+    int m_remaining;
 };
 
 template <typename Action>
@@ -43,7 +43,7 @@
     return terms;
 }
 
-ForwardingParameters onceTerms()
+ForwardingParameters nonIdempotentTerms()
 {
     ForwardingParameters terms;
     terms.kind = RouteKind::AtMostOnce;
@@ -56,45 +56,45 @@
 
 ForwardingParameters idempotentTerms()
 {
-    auto terms = onceTerms();
+    auto terms = nonIdempotentTerms();
     terms.kind = RouteKind::Idempotent;
     terms.maxAttempts = 2;
     return terms;
 }
 
-constexpr int plentyOfRepeats = 100;
+constexpr int ampleRetries = 100;
 
 } // namespace detail
 
 class TestForwardedRequest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestForwardedRequest);
-    CPPUNIT_TEST(onceIsNotRepeatedAfterItMayHaveRun);
-    CPPUNIT_TEST(onceGoesElsewhereWhenNoByteWasTaken);
-    CPPUNIT_TEST(refusalByTargetDrawsOnTheBudget);
-    CPPUNIT_TEST(noTargetIsRefusedAtOnceAsNotRun);
-    CPPUNIT_TEST(routeTimeoutAnswersAtOnce);
-    CPPUNIT_TEST(idempotentFailureIsRepeatedThenDelivered);
-    CPPUNIT_TEST(silentIdempotentAttemptIsReplaced);
-    CPPUNIT_TEST(silentIdempotentAttemptStaysWithoutBudget);
-    CPPUNIT_TEST(requestThatCannotEndIsRefusedAtOnce);
-    CPPUNIT_TEST(targetThatNeverAnswersIsLeft);
-    CPPUNIT_TEST(longWaitForTheFirstEventIsBorneUnderLoad);
-    CPPUNIT_TEST(stalledStreamGoesOnFromItsCopy);
-    CPPUNIT_TEST(missingCopyIsReadAnewAfterTheLastEvent);
-    CPPUNIT_TEST(streamUsesAtMostItsAttempts);
-    CPPUNIT_TEST(brokenStreamIsNeverCompleted);
-    CPPUNIT_TEST(callerThatLeftEndsTheAttempt);
-    CPPUNIT_TEST(stopBreaksARunningStreamOff);
-    CPPUNIT_TEST(stopRefusesNothingThatMayHaveRunAsNotRun);
-    CPPUNIT_TEST(longPrefillIsProbedNotReplaced);
+    CPPUNIT_TEST(nonIdempotentRequestIsNotRetriedAfterItMayHaveRun);
+    CPPUNIT_TEST(nonIdempotentRequestIsRetriedWhenNoByteWasAccepted);
+    CPPUNIT_TEST(retryAfterRefusalConsumesBudget);
+    CPPUNIT_TEST(missingTargetIsRejectedAsNotRun);
+    CPPUNIT_TEST(routeTimeoutYields504);
+    CPPUNIT_TEST(failedIdempotentRequestIsRetriedThenDelivered);
+    CPPUNIT_TEST(stalledIdempotentAttemptIsRetried);
+    CPPUNIT_TEST(stalledIdempotentAttemptContinuesWithoutBudget);
+    CPPUNIT_TEST(requestThatCannotMeetDeadlineIsRejected);
+    CPPUNIT_TEST(unresponsiveTargetIsReplaced);
+    CPPUNIT_TEST(firstEventTimeoutGrowsWithBacklog);
+    CPPUNIT_TEST(stalledStreamResumesFromCopy);
+    CPPUNIT_TEST(missingCopyIsRecomputedAfterLastEvent);
+    CPPUNIT_TEST(streamUsesAtMostMaxAttempts);
+    CPPUNIT_TEST(interruptedStreamIsNeverCompleted);
+    CPPUNIT_TEST(callerDisconnectCancelsAttempt);
+    CPPUNIT_TEST(shutdownAbortsRunningStream);
+    CPPUNIT_TEST(shutdownDoesNotReportStartedRequestAsNotRun);
+    CPPUNIT_TEST(longPrefillIsProbedNotRetried);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void onceIsNotRepeatedAfterItMayHaveRun()
+    void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::onceTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(request.begin(m_start)));
         const auto actions =
             request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Milliseconds(10));
@@ -106,19 +106,19 @@
         CPPUNIT_ASSERT(!refusal->retryAfter);
     }
 
-    void onceGoesElsewhereWhenNoByteWasTaken()
+    void nonIdempotentRequestIsRetriedWhenNoByteWasAccepted()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::onceTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::AttemptNotExecuted{}, m_start);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
     }
 
-    void refusalByTargetDrawsOnTheBudget()
+    void retryAfterRefusalConsumesBudget()
     {
-        detail::CountedGate gate(1);
-        ForwardedRequest request(detail::onceTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(1);
+        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         const ForwardingEvents::AttemptNotExecuted refused{.fault = TargetFault::Gone, .wasRefused = true};
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(request.handle(refused, m_start)));
@@ -128,10 +128,10 @@
         CPPUNIT_ASSERT_EQUAL(503, refusal->status);
     }
 
-    void noTargetIsRefusedAtOnceAsNotRun()
+    void missingTargetIsRejectedAsNotRun()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::NoTarget{}, m_start);
         const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
@@ -139,10 +139,10 @@
         CPPUNIT_ASSERT(request.isFinished());
     }
 
-    void routeTimeoutAnswersAtOnce()
+    void routeTimeoutYields504()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::onceTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         CPPUNIT_ASSERT_EQUAL(std::string("800ms"), absl::FormatDuration(request.deadline() - m_start));
         const auto actions = request.handle(ForwardingEvents::Tick{}, request.deadline());
@@ -152,10 +152,10 @@
         CPPUNIT_ASSERT_EQUAL(504, refusal->status);
     }
 
-    void idempotentFailureIsRepeatedThenDelivered()
+    void failedIdempotentRequestIsRetriedThenDelivered()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::idempotentTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::idempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         auto actions = request.handle(ForwardingEvents::ResponseReceived{500}, m_start);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
@@ -164,10 +164,10 @@
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions));
     }
 
-    void silentIdempotentAttemptIsReplaced()
+    void stalledIdempotentAttemptIsRetried()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::idempotentTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::idempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(301));
         const auto *cancel = detail::findAction<ForwardingActions::CancelAttempt>(actions);
@@ -175,10 +175,10 @@
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
     }
 
-    void silentIdempotentAttemptStaysWithoutBudget()
+    void stalledIdempotentAttemptContinuesWithoutBudget()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::idempotentTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::idempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(301));
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(actions));
@@ -187,11 +187,11 @@
     }
 
     // Load pattern: callers come back at once after an outage, with little patience left.
-    void requestThatCannotEndIsRefusedAtOnce()
+    void requestThatCannotMeetDeadlineIsRejected()
     {
-        detail::CountedGate gate(10);
+        detail::FixedRetryBudget budget(10);
         const auto now = absl::FromUnixSeconds(1000);
-        ForwardedRequest request(detail::streamTerms(), gate, now);
+        ForwardedRequest request(detail::streamTerms(), budget, now);
         (void)request.begin(now);
         const auto actions = request.handle(ForwardingEvents::NoTimeLeft{}, now);
         const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
@@ -199,7 +199,7 @@
         CPPUNIT_ASSERT_EQUAL(503, refusal->status);
         CPPUNIT_ASSERT(request.isFinished());
         // After an attempt that may have run, "not run" would be false.
-        ForwardedRequest repeated(detail::streamTerms(), gate, now);
+        ForwardedRequest repeated(detail::streamTerms(), budget, now);
         (void)repeated.begin(now);
         (void)repeated.handle(ForwardingEvents::AttemptLost{}, now);
         const auto last = repeated.handle(ForwardingEvents::NoTimeLeft{}, now);
@@ -208,11 +208,11 @@
 
     // Found by the soak, seed 103 (504 after the whole timeout): the target's link carried no answer, but
     // took connections, so that probes found nothing.
-    void targetThatNeverAnswersIsLeft()
+    void unresponsiveTargetIsReplaced()
     {
-        detail::CountedGate gate(10);
+        detail::FixedRetryBudget budget(10);
         const auto begin = absl::FromUnixSeconds(1000);
-        ForwardedRequest request(detail::streamTerms(), gate, begin);
+        ForwardedRequest request(detail::streamTerms(), budget, begin);
         (void)request.begin(begin);
         (void)request.handle(ForwardingEvents::AttemptSent{absl::Seconds(1)}, begin);
         const auto objective = detail::streamTerms().latencyObjective;
@@ -227,11 +227,11 @@
     }
 
     // Load pattern: each target has several prompts ahead; giving up a place in the line would lengthen it.
-    void longWaitForTheFirstEventIsBorneUnderLoad()
+    void firstEventTimeoutGrowsWithBacklog()
     {
-        detail::CountedGate gate(10);
+        detail::FixedRetryBudget budget(10);
         const auto begin = absl::FromUnixSeconds(1000);
-        ForwardedRequest request(detail::streamTerms(), gate, begin);
+        ForwardedRequest request(detail::streamTerms(), budget, begin);
         (void)request.begin(begin);
         (void)request.handle(ForwardingEvents::AttemptSent{absl::Seconds(4)}, begin);
         const auto actions = request.handle(ForwardingEvents::Tick{}, begin + absl::Milliseconds(11900));
@@ -240,10 +240,10 @@
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(lost));
     }
 
-    void stalledStreamGoesOnFromItsCopy()
+    void stalledStreamResumesFromCopy()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         const auto eventAt = m_start + absl::Seconds(1);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartResponse>(
@@ -256,10 +256,10 @@
         CPPUNIT_ASSERT(std::holds_alternative<ForwardingActions::CancelAttempt>(actions.front()));
     }
 
-    void missingCopyIsReadAnewAfterTheLastEvent()
+    void missingCopyIsRecomputedAfterLastEvent()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(3)}, m_start + absl::Seconds(1));
         auto actions = request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Seconds(1));
@@ -272,10 +272,10 @@
         CPPUNIT_ASSERT(start->lastEvent == EventNumber(3));
     }
 
-    void streamUsesAtMostItsAttempts()
+    void streamUsesAtMostMaxAttempts()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         int attempts = 0;
         auto actions = request.begin(m_start);
         while (detail::findAction<ForwardingActions::StartAttempt>(actions)) {
@@ -286,10 +286,10 @@
         CPPUNIT_ASSERT(request.isFinished());
     }
 
-    void brokenStreamIsNeverCompleted()
+    void interruptedStreamIsNeverCompleted()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(1)}, m_start);
         const auto actions = request.handle(ForwardingEvents::AttemptLost{}, m_start);
@@ -298,10 +298,10 @@
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions));
     }
 
-    void callerThatLeftEndsTheAttempt()
+    void callerDisconnectCancelsAttempt()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::CallerDisconnected{}, m_start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
@@ -309,10 +309,10 @@
         CPPUNIT_ASSERT(request.handle(ForwardingEvents::Tick{}, m_start + absl::Seconds(1)).empty());
     }
 
-    void stopBreaksARunningStreamOff()
+    void shutdownAbortsRunningStream()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(1)}, m_start);
         const auto actions = request.handle(ForwardingEvents::ShutdownRequested{}, m_start);
@@ -320,19 +320,19 @@
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::AbortResponse>(actions));
     }
 
-    void stopRefusesNothingThatMayHaveRunAsNotRun()
+    void shutdownDoesNotReportStartedRequestAsNotRun()
     {
-        detail::CountedGate gate(0);
-        ForwardedRequest request(detail::onceTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(0);
+        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::ShutdownRequested{}, m_start);
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions)->isNotExecuted);
     }
 
-    void longPrefillIsProbedNotReplaced()
+    void longPrefillIsProbedNotRetried()
     {
-        detail::CountedGate gate(detail::plentyOfRepeats);
-        ForwardedRequest request(detail::streamTerms(), gate, m_start);
+        detail::FixedRetryBudget budget(detail::ampleRetries);
+        ForwardedRequest request(detail::streamTerms(), budget, m_start);
         (void)request.begin(m_start);
         int probes = 0;
         for (int ms = 0; ms < 4000; ms += 50) {
--- a/Tests/LibForwarding/TestForwardingTables.cpp
+++ b/Tests/LibForwarding/TestForwardingTables.cpp
@@ -15,25 +15,25 @@
 class TestForwardingTables : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestForwardingTables);
-    CPPUNIT_TEST(longestPrefixOfTheHostWins);
+    CPPUNIT_TEST(longestMatchingPrefixWins);
     CPPUNIT_TEST(hostIsComparedWithoutCaseAndPort);
-    CPPUNIT_TEST(keysLeadToWorkspaces);
-    CPPUNIT_TEST(weightsShareTheDraw);
-    CPPUNIT_TEST(budgetHoldsInEveryWindow);
-    CPPUNIT_TEST(budgetIsSharedByTheRouters);
-    CPPUNIT_TEST(eventsAreCutAtAnyByte);
+    CPPUNIT_TEST(apiKeysResolveToWorkspaces);
+    CPPUNIT_TEST(servicesAreChosenByWeight);
+    CPPUNIT_TEST(retryBudgetHoldsInEveryWindow);
+    CPPUNIT_TEST(retryBudgetIsDividedAmongRouters);
+    CPPUNIT_TEST(eventsAreReassembledFromAnySplit);
     CPPUNIT_TEST(partialEventIsNotReturned);
-    CPPUNIT_TEST(oversizedEventFails);
-    CPPUNIT_TEST(reportSurvivesItsEncoding);
-    CPPUNIT_TEST(damagedReportsAreErrors);
-    CPPUNIT_TEST(silentRouterLeavesTheEntryPoints);
-    CPPUNIT_TEST(leavingRouterLeavesTheEntryPointsAtOnce);
+    CPPUNIT_TEST(oversizedEventIsRejected);
+    CPPUNIT_TEST(reportRoundTripsThroughEncoding);
+    CPPUNIT_TEST(corruptedReportsAreRejected);
+    CPPUNIT_TEST(silentRouterIsRemovedFromEntryPoints);
+    CPPUNIT_TEST(drainingRouterIsRemovedFromEntryPointsAtOnce);
     CPPUNIT_TEST(earlierIncarnationIsIgnored);
-    CPPUNIT_TEST(routersWithoutTheStoreDoNotWatchIt);
+    CPPUNIT_TEST(routersWithoutStoreAccessAreNotWatchers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void longestPrefixOfTheHostWins()
+    void longestMatchingPrefixWins()
     {
         const auto table = RouteTable::create(configuration());
         CPPUNIT_ASSERT_EQUAL(std::string("long"), table->findRoute("a.example", "/x/y/z")->name);
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(table->findRoute("A.Example:8080", "/x/"));
     }
 
-    void keysLeadToWorkspaces()
+    void apiKeysResolveToWorkspaces()
     {
         const auto table = RouteTable::create(configuration());
         CPPUNIT_ASSERT(table->findWorkspace("k2")->name == WorkspaceName("w"));
@@ -58,7 +58,7 @@
         CPPUNIT_ASSERT(!table->findWorkspace(""));
     }
 
-    void weightsShareTheDraw()
+    void servicesAreChosenByWeight()
     {
         RouteSpec route;
         route.shares = {{ServiceName("one"), 90}, {ServiceName("two"), 10}};
@@ -69,7 +69,7 @@
     }
 
     // Load pattern: half of the engines are lost, and every request would be repeated at once.
-    void budgetHoldsInEveryWindow()
+    void retryBudgetHoldsInEveryWindow()
     {
         constexpr int steps = 600;
         constexpr int windowSteps = 100;
@@ -78,10 +78,10 @@
         std::vector<int> repeats(steps, 0);
         for (int step = 0; step < steps; ++step) {
             const auto now = absl::FromUnixSeconds(1000) + step * absl::Milliseconds(100);
-            const bool isStorm = step % 150 > 75;
-            if (!isStorm || step % 10 == 0)
+            const bool isOutage = step % 150 > 75;
+            if (!isOutage || step % 10 == 0)
                 budget.recordRequest(now);
-            for (int n = 0; isStorm && n < 20; ++n)
+            for (int n = 0; isOutage && n < 20; ++n)
                 repeats[static_cast<std::size_t>(step)] += budget.tryAcquireRetry(now) ? 1 : 0;
         }
         for (int from = 0; from + windowSteps <= steps; ++from) {
@@ -93,7 +93,7 @@
         }
     }
 
-    void budgetIsSharedByTheRouters()
+    void retryBudgetIsDividedAmongRouters()
     {
         ServiceRetryBudget budget({.ratio = 0, .minRetriesPerWindow = 150, .window = absl::Seconds(10)});
         budget.setRouterCounts(10, 10);
@@ -103,7 +103,7 @@
         CPPUNIT_ASSERT(taken > 5 && taken <= 15);
     }
 
-    void eventsAreCutAtAnyByte()
+    void eventsAreReassembledFromAnySplit()
     {
         const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
         for (std::size_t step = 1; step < text.size(); ++step) {
@@ -131,13 +131,13 @@
         CPPUNIT_ASSERT(splitter.hasPartialEvent());
     }
 
-    void oversizedEventFails()
+    void oversizedEventIsRejected()
     {
         EventSplitter splitter;
         CPPUNIT_ASSERT(!splitter.feed(std::string(EventSplitter::maxEventBytes + 1, 'x')));
     }
 
-    void reportSurvivesItsEncoding()
+    void reportRoundTripsThroughEncoding()
     {
         const auto report = sampleReport();
         const auto decoded = decodePeerReport(encodePeerReport(report));
@@ -152,7 +152,7 @@
         CPPUNIT_ASSERT(decoded->targetsRevision == report.targetsRevision);
     }
 
-    void damagedReportsAreErrors()
+    void corruptedReportsAreRejected()
     {
         const auto bytes = encodePeerReport(sampleReport());
         SeededRandom random(11);
@@ -166,7 +166,7 @@
         }
     }
 
-    void silentRouterLeavesTheEntryPoints()
+    void silentRouterIsRemovedFromEntryPoints()
     {
         RouterRegistry roster;
         roster.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
@@ -175,7 +175,7 @@
         CPPUNIT_ASSERT(roster.entryPoints(FailureDomain("d"), later).empty());
     }
 
-    void leavingRouterLeavesTheEntryPointsAtOnce()
+    void drainingRouterIsRemovedFromEntryPointsAtOnce()
     {
         RouterRegistry roster;
         roster.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
@@ -194,7 +194,7 @@
         CPPUNIT_ASSERT(roster.recordReport(member("r1", 1, RouterPhase::Serving), later));
     }
 
-    void routersWithoutTheStoreDoNotWatchIt()
+    void routersWithoutStoreAccessAreNotWatchers()
     {
         RouterRegistry roster;
         const auto self = member("r3", 1, RouterPhase::Serving);
--- a/Tests/LibForwarding/TestTargetPool.cpp
+++ b/Tests/LibForwarding/TestTargetPool.cpp
@@ -13,47 +13,47 @@
 {
     CPPUNIT_TEST_SUITE(TestTargetPool);
     CPPUNIT_TEST(burstOfLongPromptsIsSpreadOverTargets);
-    CPPUNIT_TEST(routersThatChooseTogetherDoNotHerd);
-    CPPUNIT_TEST(reportsOfOtherRoutersCount);
-    CPPUNIT_TEST(oldReportsDoNotCount);
-    CPPUNIT_TEST(reportsAddUpOverRoutersAndReplaceEachOther);
-    CPPUNIT_TEST(suspectIsTheLastChoice);
-    CPPUNIT_TEST(suspectComesBackByItself);
-    CPPUNIT_TEST(lostDomainIsLeftBeforeAllItsTargetsFailed);
+    CPPUNIT_TEST(concurrentRoutersDoNotOverloadOneTarget);
+    CPPUNIT_TEST(loadReportedByOtherRoutersIsCounted);
+    CPPUNIT_TEST(expiredReportsAreIgnored);
+    CPPUNIT_TEST(reportsAreSummedAcrossRoutersAndReplacedPerRouter);
+    CPPUNIT_TEST(suspectTargetIsChosenLast);
+    CPPUNIT_TEST(suspicionExpires);
+    CPPUNIT_TEST(failingDomainIsAvoidedBeforeAllItsTargetsFail);
     CPPUNIT_TEST(replacedTargetIsNeverChosen);
-    CPPUNIT_TEST(renewedTargetIsChosenAgain);
-    CPPUNIT_TEST(leavingTargetGetsNothingNew);
-    CPPUNIT_TEST(failingTargetGetsLess);
-    CPPUNIT_TEST(copyGoesToAnotherDomain);
-    CPPUNIT_TEST(fullMemoryIsAvoided);
-    CPPUNIT_TEST(restartKeepsOwnLoadCountedOnce);
+    CPPUNIT_TEST(restartedTargetIsChosenAgain);
+    CPPUNIT_TEST(drainingTargetIsNotChosen);
+    CPPUNIT_TEST(failingTargetIsAvoided);
+    CPPUNIT_TEST(copyHolderIsInAnotherDomain);
+    CPPUNIT_TEST(targetWithFullMemoryIsAvoided);
+    CPPUNIT_TEST(restartDoesNotDoubleCountLoad);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
         m_random = SeededRandom(7);
-        for (int n = 0; n < targets; ++n)
+        for (int n = 0; n < targetCount; ++n)
             m_pool.upsert(record(n));
     }
 
     void burstOfLongPromptsIsSpreadOverTargets()
     {
         std::map<TargetId, int> counts;
-        for (int n = 0; n < 2 * targets; ++n) {
+        for (int n = 0; n < 2 * targetCount; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(chosen);
             m_pool.addLoad(*chosen, load());
             ++counts[*chosen];
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{targets}, counts.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{targetCount}, counts.size());
         for (const auto &[id, n] : counts)
             CPPUNIT_ASSERT_EQUAL(2, n);
     }
 
     // Load pattern: a domain is lost, and many routers place what ran there at the same moment, each with the
     // same picture of the loads.
-    void routersThatChooseTogetherDoNotHerd()
+    void concurrentRoutersDoNotOverloadOneTarget()
     {
         m_pool.addLoad(id(0), {.requests = 0, .pendingPrefillTokens = 0, .memoryTokens = 900});
         std::map<TargetId, int> counts;
@@ -62,26 +62,26 @@
             ++counts[*m_pool.choose(need(), m_now)];
         for (const auto &[id, n] : counts)
             CPPUNIT_ASSERT(n <= routers / 3);
-        CPPUNIT_ASSERT(counts.size() > targets / 2);
+        CPPUNIT_ASSERT(counts.size() > targetCount / 2);
     }
 
-    void reportsOfOtherRoutersCount()
+    void loadReportedByOtherRoutersIsCounted()
     {
         TargetLoads loads;
-        for (int n = 0; n < targets - 1; ++n)
+        for (int n = 0; n < targetCount - 1; ++n)
             loads[id(n)] = load();
         m_pool.setPeerLoads(RouterId("other"), loads, m_now);
-        CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targets - 1));
+        CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targetCount - 1));
     }
 
-    void oldReportsDoNotCount()
+    void expiredReportsAreIgnored()
     {
         m_pool.setPeerLoads(RouterId("other"), {{id(0), load()}}, m_now);
         const auto later = m_now + TargetPool::reportLifetime + absl::Milliseconds(1);
         CPPUNIT_ASSERT(m_pool.loadOf(id(0), later) == TargetLoad{});
     }
 
-    void reportsAddUpOverRoutersAndReplaceEachOther()
+    void reportsAreSummedAcrossRoutersAndReplacedPerRouter()
     {
         m_pool.setPeerLoads(RouterId("a"), {{id(0), load()}, {id(1), load()}}, m_now);
         m_pool.setPeerLoads(RouterId("b"), {{id(0), load()}}, m_now);
@@ -94,33 +94,33 @@
         CPPUNIT_ASSERT_EQUAL(1, m_pool.loadOf(id(0), later).requests);
     }
 
-    void suspectIsTheLastChoice()
+    void suspectTargetIsChosenLast()
     {
         m_pool.recordFault(id(0), TargetFault::Unreachable, m_now);
-        for (int n = 0; n < targets - 1; ++n) {
+        for (int n = 0; n < targetCount - 1; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(chosen != id(0));
             m_pool.addLoad(*chosen, load());
         }
         TargetRequirements last = need();
-        for (int n = 1; n < targets; ++n)
+        for (int n = 1; n < targetCount; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(m_pool.choose(last, m_now) == id(0));
     }
 
-    void suspectComesBackByItself()
+    void suspicionExpires()
     {
         m_pool.recordFault(id(0), TargetFault::Unresponsive, m_now);
         CPPUNIT_ASSERT(m_pool.isSuspect(id(0), m_now));
         CPPUNIT_ASSERT(!m_pool.isSuspect(id(0), m_now + TargetPool::initialSuspicion));
     }
 
-    void lostDomainIsLeftBeforeAllItsTargetsFailed()
+    void failingDomainIsAvoidedBeforeAllItsTargetsFail()
     {
         // Targets 0, 3 and 6 share a domain.
         m_pool.recordFault(id(0), TargetFault::Unresponsive, m_now);
         m_pool.recordFault(id(3), TargetFault::Unresponsive, m_now);
-        for (int n = 0; n < 2 * targets; ++n) {
+        for (int n = 0; n < 2 * targetCount; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(m_pool.find(*chosen)->domain != domain(0));
             m_pool.addLoad(*chosen, load());
@@ -131,31 +131,31 @@
     {
         m_pool.recordFault(id(0), TargetFault::Gone, m_now);
         TargetRequirements last = need();
-        for (int n = 1; n < targets; ++n)
+        for (int n = 1; n < targetCount; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(!m_pool.choose(last, m_now + absl::Minutes(1)));
         m_pool.markGone(id(1));
         last.exclude = {id(0)};
-        for (int n = 2; n < targets; ++n)
+        for (int n = 2; n < targetCount; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(!m_pool.choose(last, m_now));
     }
 
-    void renewedTargetIsChosenAgain()
+    void restartedTargetIsChosenAgain()
     {
         m_pool.recordFault(id(0), TargetFault::Gone, m_now);
-        auto renewed = record(0);
-        renewed.startedAtMs += 1;
-        m_pool.upsert(renewed);
+        auto restarted = record(0);
+        restarted.startedAtMs += 1;
+        m_pool.upsert(restarted);
         TargetRequirements last = need();
-        for (int n = 1; n < targets; ++n)
+        for (int n = 1; n < targetCount; ++n)
             last.exclude.push_back(id(n));
         CPPUNIT_ASSERT(m_pool.choose(last, m_now) == id(0));
     }
 
-    void leavingTargetGetsNothingNew()
+    void drainingTargetIsNotChosen()
     {
-        for (int n = 1; n < targets; ++n)
+        for (int n = 1; n < targetCount; ++n)
             m_pool.remove(id(n));
         auto leaving = record(0);
         leaving.phase = ForwardingTargetPhase::Draining;
@@ -163,46 +163,47 @@
         CPPUNIT_ASSERT(!m_pool.choose(need(), m_now));
     }
 
-    void failingTargetGetsLess()
+    void failingTargetIsAvoided()
     {
         for (int n = 0; n < 10; ++n)
             m_pool.recordFault(id(0), TargetFault::InvalidResponse, m_now);
-        for (int n = 0; n < 2 * targets; ++n) {
+        for (int n = 0; n < 2 * targetCount; ++n) {
             const auto chosen = m_pool.choose(need(), m_now);
             CPPUNIT_ASSERT(chosen != id(0));
             m_pool.addLoad(*chosen, load());
         }
     }
 
-    void copyGoesToAnotherDomain()
+    void copyHolderIsInAnotherDomain()
     {
-        for (int n = 0; n < targets; ++n) {
+        for (int n = 0; n < targetCount; ++n) {
             const auto holder = m_pool.chooseCopyHolder(need(), id(n), m_now);
             CPPUNIT_ASSERT(holder);
             CPPUNIT_ASSERT(m_pool.find(*holder)->domain != m_pool.find(id(n))->domain);
         }
     }
 
-    void fullMemoryIsAvoided()
+    void targetWithFullMemoryIsAvoided()
     {
-        for (int n = 0; n < targets - 1; ++n)
+        for (int n = 0; n < targetCount - 1; ++n)
             m_pool.addLoad(id(n), {.requests = 0, .pendingPrefillTokens = 0, .memoryTokens = 85000});
-        m_pool.addLoad(id(targets - 1), {.requests = 5, .pendingPrefillTokens = 8000, .memoryTokens = 40000});
-        CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targets - 1));
+        m_pool.addLoad(id(targetCount - 1),
+                       {.requests = 5, .pendingPrefillTokens = 8000, .memoryTokens = 40000});
+        CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targetCount - 1));
     }
 
-    void restartKeepsOwnLoadCountedOnce()
+    void restartDoesNotDoubleCountLoad()
     {
         m_pool.addLoad(id(0), load());
-        auto renewed = record(0);
-        renewed.startedAtMs += 1;
-        m_pool.upsert(renewed);
+        auto restarted = record(0);
+        restarted.startedAtMs += 1;
+        m_pool.upsert(restarted);
         m_pool.subtractLoad(id(0), load());
         CPPUNIT_ASSERT(m_pool.loadOf(id(0), m_now) == TargetLoad{});
     }
 
 private:
-    static constexpr int targets = 9;
+    static constexpr int targetCount = 9;
 
     static TargetId id(int n) { return TargetId(absl::StrCat("t", n)); }
     static FailureDomain domain(int n) { return FailureDomain(absl::StrCat("d", n % 3)); }
--- a/Tests/LibGateway/FakeViews.h
+++ b/Tests/LibGateway/FakeDirectory.h
@@ -11,7 +11,7 @@
 namespace detail {
 
 // Keeps the handlers of its calls until the test answers them.
-class HeldStore final : public DirectoryStore
+class ManualStore final : public DirectoryStore
 {
 public:
     void list(DirectoryKind, DirectoryHandler handler) override { m_list = std::move(handler); }
@@ -21,8 +21,8 @@
     }
     void publish(const RouterRecord &, std::function<void(ErrorOr<void>)>) override { }
 
-    void answerList(DirectoryBatch batch) { std::exchange(m_list, nullptr)(std::move(batch)); }
-    void answerWatch(DirectoryBatch batch) { std::exchange(m_watch, nullptr)(std::move(batch)); }
+    void completeList(DirectoryBatch batch) { std::exchange(m_list, nullptr)(std::move(batch)); }
+    void completeWatch(DirectoryBatch batch) { std::exchange(m_watch, nullptr)(std::move(batch)); }
 
 private:
     DirectoryHandler m_list;
@@ -30,7 +30,7 @@
 };
 
 // The content is the version or the address itself.
-class PlainDecoder final : public DirectoryDecoder
+class StubDecoder final : public DirectoryDecoder
 {
 public:
     ErrorOr<TrafficConfiguration> configuration(const DirectoryObject &object) const override
@@ -74,24 +74,24 @@
     std::map<std::string, std::string> targets;
 };
 
-inline DirectoryObject object(const std::string &name, std::uint64_t revision, nlohmann::json content)
+inline DirectoryObject makeObject(const std::string &name, std::uint64_t revision, nlohmann::json content)
 {
     return {name, ObjectVersion(revision), std::move(content), false};
 }
 
 // A view with all that it needs.
-struct ViewHost
+struct DirectoryViewFixture
 {
     // The log goes to the descriptor.
-    explicit ViewHost(DirectoryKind kind, int logTo = STDERR_FILENO)
-        : log(logTo, "test"), view(kind, context, store, decoder, listener, log, random)
+    explicit DirectoryViewFixture(DirectoryKind kind, int logDescriptor = STDERR_FILENO)
+        : log(logDescriptor, "test"), view(kind, context, store, decoder, listener, log, random)
     {
         view.start();
     }
 
     boost::asio::io_context context;
-    HeldStore store;
-    PlainDecoder decoder;
+    ManualStore store;
+    StubDecoder decoder;
     RecordingListener listener;
     StructuredLog log;
     SeededRandom random{1};
--- a/Tests/LibGateway/TestRequestStory.cpp
+++ b/Tests/LibGateway/TestRequestStory.cpp
@@ -9,16 +9,16 @@
 class TestRequestStory : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestRequestStory);
-    CPPUNIT_TEST(brokenStreamIsToldInOrder);
-    CPPUNIT_TEST(beliefsOfItsTargetsAreTold);
+    CPPUNIT_TEST(failedStreamIsRenderedInOrder);
+    CPPUNIT_TEST(eventsAboutItsTargetsAreIncluded);
     CPPUNIT_TEST(processesAreOrderedByWallClock);
-    CPPUNIT_TEST(refusalNamesItsCause);
-    CPPUNIT_TEST(missingFinalWordIsSaid);
-    CPPUNIT_TEST(otherLinesAreCounted);
+    CPPUNIT_TEST(refusalCauseIsExplained);
+    CPPUNIT_TEST(missingOutcomeIsReported);
+    CPPUNIT_TEST(skippedLinesAreCounted);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void brokenStreamIsToldInOrder()
+    void failedStreamIsRenderedInOrder()
     {
         RequestTimeline timeline("r1");
         timeline.addLine(
@@ -35,7 +35,7 @@
         CPPUNIT_ASSERT(text.find("r2") == std::string::npos);
     }
 
-    void beliefsOfItsTargetsAreTold()
+    void eventsAboutItsTargetsAreIncluded()
     {
         RequestTimeline timeline("r1");
         timeline.addLine(R"({"event":"store_lost","process":"g1","kind":"targets","t":7.5})");
@@ -70,7 +70,7 @@
         CPPUNIT_ASSERT(text.find("cause: complete") != std::string::npos);
     }
 
-    void refusalNamesItsCause()
+    void refusalCauseIsExplained()
     {
         RequestTimeline timeline("r1");
         // As the users' bench prints it, with a time and a name in front.
@@ -79,7 +79,7 @@
         CPPUNIT_ASSERT(timeline.render().find("it did not run") != std::string::npos);
     }
 
-    void missingFinalWordIsSaid()
+    void missingOutcomeIsReported()
     {
         RequestTimeline timeline("r1");
         CPPUNIT_ASSERT(timeline.isEmpty());
@@ -87,7 +87,7 @@
         CPPUNIT_ASSERT(timeline.render().find("no final word") != std::string::npos);
     }
 
-    void otherLinesAreCounted()
+    void skippedLinesAreCounted()
     {
         RequestTimeline timeline("r1");
         for (const auto *line : {"", "plain text", "{", "[]", R"({"event":1,"process":"g","t":1})",
--- a/Tests/Platform/FakePlatform.cpp
+++ b/Tests/Platform/FakePlatform.cpp
@@ -17,7 +17,7 @@
 
 namespace detail {
 
-std::string queryValue(const std::string &target, const std::string &name)
+std::string queryParameter(const std::string &target, const std::string &name)
 {
     const std::pair<std::string, std::string> parts = absl::StrSplit(target, absl::MaxSplits('?', 1));
     for (absl::string_view it : absl::StrSplit(parts.second, '&')) {
@@ -27,7 +27,7 @@
     return {};
 }
 
-std::uint64_t number(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t n = 0;
     return absl::SimpleAtoi(text, &n) ? n : 0;
@@ -40,14 +40,15 @@
 
 } // namespace detail
 
-std::string freeAddress()
+std::string unusedLoopbackAddress()
 {
     boost::asio::io_context context;
     boost::asio::ip::tcp::acceptor acceptor(context, {boost::asio::ip::address_v4::loopback(), 0});
     return absl::StrCat("127.0.0.1:", acceptor.local_endpoint().port());
 }
 
-FakeStore::FakeStore(boost::asio::io_context &context) : m_context(context), m_address(freeAddress())
+FakeStore::FakeStore(boost::asio::io_context &context)
+    : m_context(context), m_address(unusedLoopbackAddress())
 {
     auto server = HttpServer::create(context, *Address::parse(m_address), *this, {});
     VERIFY(server.has_value());
@@ -59,7 +60,7 @@
     ++m_revision;
     nlohmann::json object = {{"metadata", {{"name", name}, {"revision", m_revision}}}, {"spec", spec}};
     m_objects[kind][name] = object;
-    changed(kind, std::move(object), false);
+    recordChange(kind, std::move(object), false);
 }
 
 void FakeStore::remove(const std::string &kind, const std::string &name)
@@ -68,70 +69,70 @@
     auto object = m_objects[kind][name];
     object["metadata"]["revision"] = m_revision;
     m_objects[kind].erase(name);
-    changed(kind, std::move(object), true);
+    recordChange(kind, std::move(object), true);
 }
 
-void FakeStore::changed(const std::string &kind, nlohmann::json object, bool isRemoved)
+void FakeStore::recordChange(const std::string &kind, nlohmann::json object, bool isRemoved)
 {
     m_history.push_back({kind, m_revision, {{"object", std::move(object)}, {"deleted", isRemoved}}});
-    std::erase_if(m_waiting, [this](const Waiting &it) { return answerWatch(it); });
+    std::erase_if(m_pendingWatches, [this](const PendingWatch &it) { return tryCompleteWatch(it); });
 }
 
-void FakeStore::dropHistory()
+void FakeStore::compactHistory()
 {
-    m_historyFrom = m_revision + 1;
+    m_oldestWatchableRevision = m_revision + 1;
     m_history.clear();
-    for (const auto &it : std::exchange(m_waiting, {}))
+    for (const auto &it : std::exchange(m_pendingWatches, {}))
         respond(it.connection, 410, nlohmann::json::object());
 }
 
-bool FakeStore::answerWatch(const Waiting &waiting)
+bool FakeStore::tryCompleteWatch(const PendingWatch &watch)
 {
     nlohmann::json events = nlohmann::json::array();
     for (const auto &it : m_history) {
-        if (it.kind == waiting.kind && it.revision > waiting.after)
+        if (it.kind == watch.kind && it.revision > watch.after)
             events.push_back(it.event);
     }
     if (events.empty())
         return false;
-    waiting.timer->cancel();
-    respond(waiting.connection, 200, {{"events", events}, {"currentRev", m_revision}});
+    watch.timer->cancel();
+    respond(watch.connection, 200, {{"events", events}, {"currentRev", m_revision}});
     return true;
 }
 
 void FakeStore::startWatch(const std::shared_ptr<HttpServerConnection> &connection, const std::string &kind,
                            const std::string &target)
 {
-    const Waiting waiting{connection, kind, detail::number(detail::queryValue(target, "watch")),
-                          std::make_shared<boost::asio::steady_timer>(m_context)};
-    if (waiting.after < m_historyFrom) {
+    const PendingWatch watch{connection, kind, detail::parseNumber(detail::queryParameter(target, "watch")),
+                             std::make_shared<boost::asio::steady_timer>(m_context)};
+    if (watch.after < m_oldestWatchableRevision) {
         respond(connection, 410, nlohmann::json::object());
         return;
     }
-    if (answerWatch(waiting))
+    if (tryCompleteWatch(watch))
         return;
-    m_waiting.push_back(waiting);
-    waiting.timer->expires_after(
-        std::chrono::milliseconds(detail::number(detail::queryValue(target, "waitMs"))));
-    waiting.timer->async_wait([this, timer = waiting.timer](const auto &ec) {
-        const auto it = std::find_if(m_waiting.begin(), m_waiting.end(),
-                                     [&](const Waiting &waits) { return waits.timer == timer; });
-        if (ec || it == m_waiting.end())
+    m_pendingWatches.push_back(watch);
+    watch.timer->expires_after(
+        std::chrono::milliseconds(detail::parseNumber(detail::queryParameter(target, "waitMs"))));
+    watch.timer->async_wait([this, timer = watch.timer](const auto &ec) {
+        const auto it = std::find_if(m_pendingWatches.begin(), m_pendingWatches.end(),
+                                     [&](const PendingWatch &pending) { return pending.timer == timer; });
+        if (ec || it == m_pendingWatches.end())
             return;
         respond(it->connection, 200, {{"events", nlohmann::json::array()}, {"currentRev", m_revision}});
-        m_waiting.erase(it);
+        m_pendingWatches.erase(it);
     });
 }
 
 void FakeStore::respond(const std::shared_ptr<HttpServerConnection> &connection, int status,
                         const nlohmann::json &body)
 {
-    if (m_mode != FakeStoreMode::Mute)
+    if (m_mode != FakeStoreMode::Unresponsive)
         connection->respond(makeResponse(status, "application/json", body.dump()));
 }
 
-void FakeStore::write(const std::shared_ptr<HttpServerConnection> &connection, const HttpRequest &request,
-                      const std::string &kind)
+void FakeStore::handleWrite(const std::shared_ptr<HttpServerConnection> &connection,
+                            const HttpRequest &request, const std::string &kind)
 {
     const auto body = nlohmann::json::parse(request.body());
     const auto name = body["metadata"]["name"].get<std::string>();
@@ -148,17 +149,17 @@
 {
     ++m_calls;
     const std::string target(request.target().data(), request.target().size());
-    if (m_mode == FakeStoreMode::Busy) {
+    if (m_mode == FakeStoreMode::Unavailable) {
         respond(connection, 503, nlohmann::json::object());
         return;
     }
     const std::vector<std::string> parts = absl::StrSplit(target.substr(0, target.find('?')), '/');
     const auto &kind = parts.at(3);
     if (request.method_string() != "GET") {
-        write(connection, request, kind);
+        handleWrite(connection, request, kind);
         return;
     }
-    if (!detail::queryValue(target, "watch").empty()) {
+    if (!detail::queryParameter(target, "watch").empty()) {
         startWatch(connection, kind, target);
         return;
     }
@@ -168,27 +169,26 @@
     respond(connection, 200, {{"items", items}, {"hasMore", false}, {"currentRev", m_revision}});
 }
 
-FakeEngine::FakeEngine(boost::asio::io_context &context, FakeFleet &fleet, std::string id,
+FakeEngine::FakeEngine(boost::asio::io_context &context, FakeEngineState &engineState, std::string id,
                        std::string service, std::string zone)
-    : m_context(context), m_fleet(fleet), m_id(std::move(id)), m_service(std::move(service)),
-      m_zone(std::move(zone)), m_address(freeAddress()), m_publishedAddress(m_address)
+    : m_context(context), m_engineState(engineState), m_id(std::move(id)), m_service(std::move(service)),
+      m_zone(std::move(zone)), m_address(unusedLoopbackAddress()), m_publishedAddress(m_address)
 {
     auto server = HttpServer::create(context, *Address::parse(m_address), *this, {});
     VERIFY(server.has_value());
     m_server = std::move(*server);
 }
 
-nlohmann::json FakeEngine::entry(const std::string &state) const
+nlohmann::json FakeEngine::storeRecord(const std::string &state) const
 {
-    return {{"service", m_service}, {"address", m_publishedAddress},
-            {"zone", m_zone},       {"slots", 8},
-            {"state", state},       {"born", m_lives + 1}};
+    return {{"service", m_service}, {"address", m_publishedAddress}, {"zone", m_zone}, {"slots", 8},
+            {"state", state},       {"born", m_restarts + 1}};
 }
 
-std::string FakeFleet::wholeStream() const
+std::string FakeEngineState::completeStream() const
 {
     std::string out;
-    for (int n = 1; n <= events; ++n)
+    for (int n = 1; n <= eventsPerStream; ++n)
         out += detail::eventText(n);
     return out;
 }
@@ -196,9 +196,9 @@
 void FakeEngine::restart(const std::string &id)
 {
     m_id = id;
-    ++m_lives;
+    ++m_restarts;
     m_running.clear();
-    std::erase_if(m_fleet.copies,
+    std::erase_if(m_engineState.copies,
                   [this](const std::string &it) { return absl::StartsWith(it, m_publishedAddress + "/"); });
 }
 
@@ -209,15 +209,15 @@
         connection->respond(makeResponse(404, "application/json", "{}"));
         return;
     }
-    const auto handle = absl::StrCat("h", ++m_fleet.handles);
-    m_fleet.copies.insert(m_publishedAddress + "/" + handle);
+    const auto handle = absl::StrCat("h", ++m_engineState.lastHandle);
+    m_engineState.copies.insert(m_publishedAddress + "/" + handle);
     connection->respond(
         makeResponse(200, "application/json", nlohmann::json{{"handle", handle}, {"created", 1}}.dump()));
 }
 
 void FakeEngine::handleRequest(const std::shared_ptr<HttpServerConnection> &connection, HttpRequest request)
 {
-    ++m_arrivals;
+    ++m_requestCount;
     const std::string target(request.target().data(), request.target().size());
     if (target == "/-/kv-move") {
         copyRun(connection, request.body());
@@ -231,61 +231,62 @@
         connection->respond(response);
         return;
     }
-    if (m_fleet.arrived)
-        m_fleet.arrived(m_id);
+    if (m_engineState.onRequest)
+        m_engineState.onRequest(m_id);
     const std::string from(fieldValue(request, "Kv-From"));
-    const bool isCopyMissing = !from.empty() && m_fleet.copies.erase(from) == 0;
-    if (m_mode == FakeEngineMode::Full || isCopyMissing) {
+    const bool isCopyMissing = !from.empty() && m_engineState.copies.erase(from) == 0;
+    if (m_mode == FakeEngineMode::Overloaded || isCopyMissing) {
         response.head.status = 503;
         response.head.fields.set("Not-Executed", "1");
         connection->respond(response);
         return;
     }
     response.head.fields.set("Engine-Seal", "seal");
-    m_fleet.workspaces[requestId] = fieldValue(request, "Tenant");
+    m_engineState.workspaceByRequest[requestId] = fieldValue(request, "Tenant");
     if (from.empty()) {
-        ++m_fleet.runs[requestId];
+        ++m_engineState.runsByRequest[requestId];
         if (!fieldValue(request, "Last-Event-Id").empty())
-            ++m_fleet.readAnew[requestId];
+            ++m_engineState.recomputedRuns[requestId];
     }
     const std::string holder(fieldValue(request, "Kv-Backup"));
     if (!holder.empty())
-        m_fleet.copies.insert(holder + "/" + requestId);
+        m_engineState.copies.insert(holder + "/" + requestId);
     if (!absl::StartsWith(target, "/stream/")) {
-        if (m_mode == FakeEngineMode::Dying)
+        if (m_mode == FakeEngineMode::Crashing)
             connection->abort();
-        else if (m_mode != FakeEngineMode::Silent)
+        else if (m_mode != FakeEngineMode::Stalled)
             connection->respond(response);
         return;
     }
     response.head.fields.set("Content-Type", "text/event-stream");
     connection->openStream(response.head);
     m_running.insert(requestId);
-    streamFrom(connection,
-               static_cast<int>(detail::number(std::string(fieldValue(request, "Last-Event-Id")))) + 1);
+    sendEventsFrom(connection,
+                   static_cast<int>(detail::parseNumber(std::string(fieldValue(request, "Last-Event-Id"))))
+                       + 1);
 }
 
-void FakeEngine::streamFrom(const std::shared_ptr<HttpServerConnection> &connection, int event)
+void FakeEngine::sendEventsFrom(const std::shared_ptr<HttpServerConnection> &connection, int event)
 {
-    const int events = m_fleet.events;
+    const int events = m_engineState.eventsPerStream;
     if (event > events) {
         connection->endStream();
         return;
     }
-    if (event > events / 2 && m_mode == FakeEngineMode::Silent)
+    if (event > events / 2 && m_mode == FakeEngineMode::Stalled)
         return;
     const auto text = detail::eventText(event);
-    if (event > events / 2 && m_mode == FakeEngineMode::Dying) {
+    if (event > events / 2 && m_mode == FakeEngineMode::Crashing) {
         // Half of an event is on its way when the engine dies.
         connection->writeStream(text.substr(0, text.size() / 2));
         connection->abort();
         return;
     }
     connection->writeStream(text);
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_context, m_fleet.eventInterval);
-    timer->async_wait([this, timer, connection, event, life = m_lives](const auto &) {
-        if (life == m_lives)
-            streamFrom(connection, event + 1);
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_context, m_engineState.eventInterval);
+    timer->async_wait([this, timer, connection, event, restarts = m_restarts](const auto &) {
+        if (restarts == m_restarts)
+            sendEventsFrom(connection, event + 1);
         else
             connection->abort();
     });
--- a/Tests/Platform/TestAdapter.cpp
+++ b/Tests/Platform/TestAdapter.cpp
@@ -12,19 +12,19 @@
 class TestAdapter : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestAdapter);
-    CPPUNIT_TEST(requestIsDecoded);
-    CPPUNIT_TEST(requestWithoutAnIdIsRefused);
-    CPPUNIT_TEST(targetFieldsAreTheSystemsOwn);
-    CPPUNIT_TEST(answersAreJudged);
-    CPPUNIT_TEST(copiesAreNamed);
+    CPPUNIT_TEST(requestFieldsAreDecoded);
+    CPPUNIT_TEST(malformedRequestIsRejected);
+    CPPUNIT_TEST(callerCannotForgeReservedHeaders);
+    CPPUNIT_TEST(responseOriginIsClassified);
+    CPPUNIT_TEST(copyHeadersAndResponsesAreTranslated);
     CPPUNIT_TEST(entryPointsAreEncoded);
     CPPUNIT_TEST(configurationIsDecoded);
-    CPPUNIT_TEST(targetsAreDecodedAndCheckedFieldByField);
-    CPPUNIT_TEST(damagedObjectsDoNotCrash);
+    CPPUNIT_TEST(targetWithInvalidFieldIsRejected);
+    CPPUNIT_TEST(corruptedObjectsDoNotCrashDecoder);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void requestIsDecoded()
+    void requestFieldsAreDecoded()
     {
         const auto request = m_dialect.readRequest(callerFields());
         CPPUNIT_ASSERT(request);
@@ -36,7 +36,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{80}, request->size.maxOutputTokens);
     }
 
-    void requestWithoutAnIdIsRefused()
+    void malformedRequestIsRejected()
     {
         CPPUNIT_ASSERT(!m_dialect.readRequest({}));
         auto fields = callerFields();
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT(!m_dialect.readRequest(fields));
     }
 
-    void targetFieldsAreTheSystemsOwn()
+    void callerCannotForgeReservedHeaders()
     {
         auto fields = callerFields();
         for (const auto *name : {"Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant", "Expect-Instance"})
@@ -66,7 +66,7 @@
             CPPUNIT_ASSERT_MESSAGE(name, value(fields, name).empty());
     }
 
-    void answersAreJudged()
+    void responseOriginIsClassified()
     {
         const RequestId id("9c41");
         HttpResponseHead head;
@@ -86,7 +86,7 @@
         CPPUNIT_ASSERT(m_dialect.classifyResponse(refused, id) == ResponseClass::RejectedReplaced);
     }
 
-    void copiesAreNamed()
+    void copyHeadersAndResponsesAreTranslated()
     {
         const auto request = *m_dialect.readRequest(callerFields());
         auto fields = callerFields();
@@ -140,14 +140,14 @@
         CPPUNIT_ASSERT(!m_decoder.configuration({"other", ObjectVersion(3), configurationSpec(), false}));
     }
 
-    void targetsAreDecodedAndCheckedFieldByField()
+    void targetWithInvalidFieldIsRejected()
     {
         CPPUNIT_ASSERT(m_decoder.target({"i-1", ObjectVersion(1), targetSpec(), false}));
         for (const auto *field : {"service", "address", "zone", "slots", "state"}) {
-            for (const nlohmann::json &bad :
+            for (const nlohmann::json &invalidValue :
                  {nlohmann::json(), nlohmann::json::array(), nlohmann::json(true)}) {
                 auto spec = targetSpec();
-                spec[field] = bad;
+                spec[field] = invalidValue;
                 CPPUNIT_ASSERT_MESSAGE(field, !m_decoder.target({"i-1", ObjectVersion(1), spec, false}));
             }
         }
@@ -161,12 +161,12 @@
         CPPUNIT_ASSERT(!m_decoder.target({"i-1", ObjectVersion(1), spec, false}));
     }
 
-    void damagedObjectsDoNotCrash()
+    void corruptedObjectsDoNotCrashDecoder()
     {
         SeededRandom random(23);
-        for (const auto &whole : {configurationSpec().dump(), targetSpec().dump()}) {
+        for (const auto &original : {configurationSpec().dump(), targetSpec().dump()}) {
             for (int n = 0; n < 4000; ++n) {
-                auto text = whole;
+                auto text = original;
                 for (int k = 0; k < 3; ++k)
                     text[random.below(text.size())] = "{}[]\",:0a9"[random.below(10)];
                 const auto json = nlohmann::json::parse(text, nullptr, false);
--- a/Tests/Platform/TestGatewayOnPlatform.cpp
+++ b/Tests/Platform/TestGatewayOnPlatform.cpp
@@ -49,26 +49,26 @@
 class TestGatewayOnPlatform : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestGatewayOnPlatform);
-    CPPUNIT_TEST(allKindsAreServed);
-    CPPUNIT_TEST(streamOfADyingEngineIsWhole);
-    CPPUNIT_TEST(streamOfASilentEngineIsWhole);
-    CPPUNIT_TEST(streamThatCannotGoOnIsBrokenOff);
-    CPPUNIT_TEST(onceRunsOnceWhenItsAnswerIsLost);
-    CPPUNIT_TEST(idempotentIsRepeatedWhenItsAnswerIsLost);
-    CPPUNIT_TEST(fullEnginesAreATrueRefusal);
-    CPPUNIT_TEST(wrongKeysAndRoutesAreRefused);
-    CPPUNIT_TEST(newConfigurationComesIntoForce);
-    CPPUNIT_TEST(lostHistoryIsReadAnew);
-    CPPUNIT_TEST(withoutConfigurationNothingIsPromisedFalsely);
-    CPPUNIT_TEST(leavingEngineGetsNothing);
-    CPPUNIT_TEST(plannedStopCutsNoStream);
+    CPPUNIT_TEST(allRouteKindsAreServed);
+    CPPUNIT_TEST(streamCompletesAfterEngineCrash);
+    CPPUNIT_TEST(streamCompletesAfterEngineStall);
+    CPPUNIT_TEST(streamIsAbortedWhenNoEngineCanResumeIt);
+    CPPUNIT_TEST(nonIdempotentRequestRunsOnceWhenResponseIsLost);
+    CPPUNIT_TEST(idempotentRequestIsRetriedWhenResponseIsLost);
+    CPPUNIT_TEST(overloadedEnginesYield503WithoutRun);
+    CPPUNIT_TEST(unknownKeyAndRouteAreRejected);
+    CPPUNIT_TEST(newConfigurationTakesEffect);
+    CPPUNIT_TEST(objectsAreRelistedAfterHistoryCompaction);
+    CPPUNIT_TEST(missingConfigurationYields503UntilStoreRecovers);
+    CPPUNIT_TEST(drainingEngineReceivesNoRequests);
+    CPPUNIT_TEST(gracefulStopLetsRunningStreamFinish);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
         m_context = std::make_unique<boost::asio::io_context>(1);
-        m_fleet = {};
+        m_engineState = {};
         m_store = std::make_unique<FakeStore>(*m_context);
         m_engines.clear();
         for (int n = 0; n < 4; ++n)
@@ -88,63 +88,63 @@
         m_context.reset();
     }
 
-    void allKindsAreServed()
+    void allRouteKindsAreServed()
     {
         startGateway();
         CPPUNIT_ASSERT_EQUAL(std::string("answer of r1"), call("POST", "/book/x", "r1").body);
         CPPUNIT_ASSERT_EQUAL(std::string("answer of r2"), call("GET", "/look/x", "r2").body);
         const auto stream = call("POST", "/stream/x", "r3");
-        CPPUNIT_ASSERT_EQUAL(m_fleet.wholeStream(), stream.body);
+        CPPUNIT_ASSERT_EQUAL(m_engineState.completeStream(), stream.body);
         CPPUNIT_ASSERT(!fieldValue(stream.head.fields, "Engine-Seal").empty());
     }
 
-    void streamOfADyingEngineIsWhole() { checkStreamSurvives(FakeEngineMode::Dying); }
-    void streamOfASilentEngineIsWhole() { checkStreamSurvives(FakeEngineMode::Silent); }
+    void streamCompletesAfterEngineCrash() { checkStreamCompletes(FakeEngineMode::Crashing); }
+    void streamCompletesAfterEngineStall() { checkStreamCompletes(FakeEngineMode::Stalled); }
 
-    void streamThatCannotGoOnIsBrokenOff()
+    void streamIsAbortedWhenNoEngineCanResumeIt()
     {
         startGateway();
-        setModes("llm", FakeEngineMode::Dying);
+        setModes("llm", FakeEngineMode::Crashing);
         // The answer never arrives as complete.
         CPPUNIT_ASSERT_EQUAL(0, call("POST", "/stream/x", "r1").head.status);
     }
 
-    void onceRunsOnceWhenItsAnswerIsLost()
+    void nonIdempotentRequestRunsOnceWhenResponseIsLost()
     {
         startGateway();
-        setModes("app", FakeEngineMode::Dying);
+        setModes("app", FakeEngineMode::Crashing);
         CPPUNIT_ASSERT_EQUAL(502, call("POST", "/book/x", "r1").head.status);
-        CPPUNIT_ASSERT_EQUAL(1, m_fleet.runs["r1"]);
+        CPPUNIT_ASSERT_EQUAL(1, m_engineState.runsByRequest["r1"]);
     }
 
-    void idempotentIsRepeatedWhenItsAnswerIsLost()
+    void idempotentRequestIsRetriedWhenResponseIsLost()
     {
         startGateway();
-        m_engines.at("app-0")->setMode(FakeEngineMode::Dying);
+        m_engines.at("app-0")->setMode(FakeEngineMode::Crashing);
         for (int n = 0; n < 4; ++n) {
             const auto id = absl::StrCat("r", n);
             CPPUNIT_ASSERT_EQUAL("answer of " + id, call("GET", "/look/x", id).body);
         }
     }
 
-    void fullEnginesAreATrueRefusal()
+    void overloadedEnginesYield503WithoutRun()
     {
         startGateway();
-        setModes("app", FakeEngineMode::Full);
+        setModes("app", FakeEngineMode::Overloaded);
         const auto response = call("POST", "/book/x", "r1");
         CPPUNIT_ASSERT_EQUAL(503, response.head.status);
         CPPUNIT_ASSERT(!fieldValue(response.head.fields, "Retry-After").empty());
-        CPPUNIT_ASSERT_EQUAL(0, m_fleet.runs["r1"]);
+        CPPUNIT_ASSERT_EQUAL(0, m_engineState.runsByRequest["r1"]);
     }
 
-    void wrongKeysAndRoutesAreRefused()
+    void unknownKeyAndRouteAreRejected()
     {
         startGateway();
         CPPUNIT_ASSERT_EQUAL(401, call("POST", "/book/x", "r1", "other").head.status);
         CPPUNIT_ASSERT_EQUAL(404, call("POST", "/none/x", "r2").head.status);
     }
 
-    void newConfigurationComesIntoForce()
+    void newConfigurationTakesEffect()
     {
         startGateway();
         auto next = detail::configuration(2);
@@ -154,19 +154,19 @@
         CPPUNIT_ASSERT_EQUAL(200, call("POST", "/book/x", "r2", "key2").head.status);
     }
 
-    void lostHistoryIsReadAnew()
+    void objectsAreRelistedAfterHistoryCompaction()
     {
         startGateway();
-        m_store->dropHistory();
+        m_store->compactHistory();
         auto next = detail::configuration(3);
         next["tenants"][0]["apiKeys"] = {"key3"};
         m_store->put("config", "main", next);
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r", "key3").head.status == 200; }));
     }
 
-    void withoutConfigurationNothingIsPromisedFalsely()
+    void missingConfigurationYields503UntilStoreRecovers()
     {
-        m_store->setMode(FakeStoreMode::Busy);
+        m_store->setMode(FakeStoreMode::Unavailable);
         startGateway(Readiness::DontWait);
         const auto response = call("POST", "/book/x", "r1");
         CPPUNIT_ASSERT_EQUAL(503, response.head.status);
@@ -175,22 +175,23 @@
             absl::SimpleAtod(std::string(fieldValue(response.head.fields, "Retry-After")), &after));
         CPPUNIT_ASSERT(after > 0 && after < 1);
         CPPUNIT_ASSERT_EQUAL(503, call("GET", "/-/resolve?name=site.example&zone=z0", "").head.status);
-        m_store->setMode(FakeStoreMode::Sound);
+        m_store->setMode(FakeStoreMode::Healthy);
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r2").head.status == 200; }));
     }
 
-    void leavingEngineGetsNothing()
+    void drainingEngineReceivesNoRequests()
     {
         startGateway();
-        m_store->put("servers", "app-0", m_engines.at("app-0")->entry("draining"));
+        m_store->put("servers", "app-0", m_engines.at("app-0")->storeRecord("draining"));
         m_store->remove("servers", "app-1");
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r").head.status == 503; }));
-        const int before = m_engines.at("app-0")->arrivals() + m_engines.at("app-1")->arrivals();
+        const int before = m_engines.at("app-0")->requestCount() + m_engines.at("app-1")->requestCount();
         (void)call("POST", "/book/x", "r2");
-        CPPUNIT_ASSERT_EQUAL(before, m_engines.at("app-0")->arrivals() + m_engines.at("app-1")->arrivals());
+        CPPUNIT_ASSERT_EQUAL(before,
+                             m_engines.at("app-0")->requestCount() + m_engines.at("app-1")->requestCount());
     }
 
-    void plannedStopCutsNoStream()
+    void gracefulStopLetsRunningStreamFinish()
     {
         startGateway();
         HttpResponse response;
@@ -200,7 +201,7 @@
         m_gateway->startShutdown();
         CPPUNIT_ASSERT_EQUAL(503, call("GET", "/-/ready", "").head.status);
         CPPUNIT_ASSERT(runUntil([&] { return isDone; }));
-        CPPUNIT_ASSERT_EQUAL(m_fleet.wholeStream(), response.body);
+        CPPUNIT_ASSERT_EQUAL(m_engineState.completeStream(), response.body);
         CPPUNIT_ASSERT_EQUAL(503, call("POST", "/stream/x", "r2").head.status);
         CPPUNIT_ASSERT_EQUAL(200, call("POST", "/book/x", "r3").head.status);
     }
@@ -210,8 +211,8 @@
 
     void addEngine(const std::string &id, const std::string &service, const std::string &zone)
     {
-        m_engines[id] = std::make_unique<FakeEngine>(*m_context, m_fleet, id, service, zone);
-        m_store->put("servers", id, m_engines[id]->entry());
+        m_engines[id] = std::make_unique<FakeEngine>(*m_context, m_engineState, id, service, zone);
+        m_store->put("servers", id, m_engines[id]->storeRecord());
     }
 
     void setModes(const std::string &prefix, FakeEngineMode mode)
@@ -227,10 +228,10 @@
         GatewaySettings settings;
         settings.id = RouterId("g1");
         settings.domain = FailureDomain("z0");
-        settings.callerListen = freeAddress();
+        settings.callerListen = unusedLoopbackAddress();
         settings.entryPointListen = settings.callerListen;
         settings.readinessListen = settings.callerListen;
-        settings.peerListen = freeAddress();
+        settings.peerListen = unusedLoopbackAddress();
         settings.store = m_store->address();
         settings.retryLimits = {.ratio = 0.8, .minRetriesPerWindow = 150, .window = absl::Seconds(10)};
         m_address = settings.callerListen;
@@ -287,23 +288,23 @@
         return false;
     }
 
-    void checkStreamSurvives(FakeEngineMode mode)
+    void checkStreamCompletes(FakeEngineMode mode)
     {
         startGateway();
         // One domain fails; copies are kept in the other one.
         for (const auto &[id, engine] : m_engines) {
-            if (engine->entry()["zone"] == "z0")
+            if (engine->storeRecord()["zone"] == "z0")
                 engine->setMode(mode);
         }
         for (int n = 0; n < 6; ++n) {
             const auto id = absl::StrCat("r", n);
-            CPPUNIT_ASSERT_EQUAL(m_fleet.wholeStream(), call("POST", "/stream/x", id).body);
-            CPPUNIT_ASSERT_EQUAL(1, m_fleet.runs[id]);
+            CPPUNIT_ASSERT_EQUAL(m_engineState.completeStream(), call("POST", "/stream/x", id).body);
+            CPPUNIT_ASSERT_EQUAL(1, m_engineState.runsByRequest[id]);
         }
     }
 
     std::unique_ptr<boost::asio::io_context> m_context;
-    FakeFleet m_fleet;
+    FakeEngineState m_engineState;
     std::unique_ptr<FakeStore> m_store;
     std::map<std::string, std::unique_ptr<FakeEngine>> m_engines;
     std::unique_ptr<Platform::StoreClient> m_client;
--- a/Tests/Soak/FaultPlan.cpp
+++ b/Tests/Soak/FaultPlan.cpp
@@ -27,9 +27,9 @@
         {"engine dark", [this] { return darkenEngine(); }},
         {"domain lost", [this] { return loseDomain(); }},
         {"engine released", [this] { return releaseEngine(); }},
-        {"engine full", [this] { return setEngineMode(FakeEngineMode::Full); }},
-        {"engine breaks off answers", [this] { return setEngineMode(FakeEngineMode::Dying); }},
-        {"engine silent", [this] { return setEngineMode(FakeEngineMode::Silent); }},
+        {"engine full", [this] { return setEngineMode(FakeEngineMode::Overloaded); }},
+        {"engine breaks off answers", [this] { return setEngineMode(FakeEngineMode::Crashing); }},
+        {"engine silent", [this] { return setEngineMode(FakeEngineMode::Stalled); }},
         {"engine link cut", [this] { return harmEngineLink(LinkFault::Cut); }},
         {"engine link cut one way", [this] { return harmEngineLink(LinkFault::CutToServer); }},
         {"engine link delayed", [this] { return harmEngineLink(LinkFault::Delayed); }},
@@ -40,8 +40,8 @@
         {"store link cut one way", [this, store] { return harmRouterLink(store, LinkFault::CutToServer); }},
         {"store link reset", [this, store] { return resetRouterLink(store); }},
         {"store link silent", [this, store] { return silenceRouterLink(store); }},
-        {"store busy", [this] { return harmStore(FakeStoreMode::Busy); }},
-        {"store mute", [this] { return harmStore(FakeStoreMode::Mute); }},
+        {"store busy", [this] { return harmStore(FakeStoreMode::Unavailable); }},
+        {"store mute", [this] { return harmStore(FakeStoreMode::Unresponsive); }},
         {"store history dropped", [this] { return dropHistory(); }},
         {"configuration changed", [this] { return changeConfiguration(); }},
     };
@@ -190,7 +190,7 @@
     engine->engine->setMode(mode);
     m_world.after(m_world.drawn(shortestFault, longestFault),
                   [engine, end = m_world.disturb(DisturbanceKind::Engine, engine->engine->id())] {
-                      engine->engine->setMode(FakeEngineMode::Sound);
+                      engine->engine->setMode(FakeEngineMode::Healthy);
                       engine->isDisturbed = false;
                       end();
                   });
@@ -255,7 +255,7 @@
     m_world.store().setMode(mode);
     m_world.after(m_world.drawn(shortestFault, longestFault),
                   [this, end = m_world.disturb(DisturbanceKind::Store, "")] {
-                      m_world.store().setMode(FakeStoreMode::Sound);
+                      m_world.store().setMode(FakeStoreMode::Healthy);
                       m_isStoreHarmed = false;
                       end();
                   });
@@ -265,7 +265,7 @@
 bool FaultPlan::dropHistory()
 {
     m_world.disturb(DisturbanceKind::Store, "")();
-    m_world.store().dropHistory();
+    m_world.store().compactHistory();
     return true;
 }
 
--- a/Tests/Soak/Promises.cpp
+++ b/Tests/Soak/Promises.cpp
@@ -50,7 +50,7 @@
         m_onceCalls.push_back(call.id);
     if (detail::isPromiseOfNotRun(call.status) && !call.isFromEngine) {
         m_refused.push_back(call.id);
-        check(!m_fleet.runs.contains(call.id), "not run is true", call.id);
+        check(!m_fleet.runsByRequest.contains(call.id), "not run is true", call.id);
     }
     check(!detail::isWrongDenial(call.status), "allowed work is not denied",
           absl::StrCat(call.id, " status ", call.status));
@@ -66,7 +66,8 @@
         && m_disturbances.isCalm(DisturbanceKind::Store, "", call.sentAt - contact, call.endedAt);
     if (isOnlyPlanned && !call.isUnread) {
         // A request that crosses the closing of its connection is not read by anyone.
-        const bool isCrossed = !m_fleet.runs.contains(call.id) && call.endedAt - call.sentAt <= crossing;
+        const bool isCrossed =
+            !m_fleet.runsByRequest.contains(call.id) && call.endedAt - call.sentAt <= crossing;
         check(call.isComplete || isCrossed, "a planned stop cuts nothing", call.id);
     }
 }
@@ -78,7 +79,7 @@
     const auto details =
         absl::StrCat(call.id, " complete ", call.isComplete, " with ", call.body.size(), " bytes");
     if (call.kind == SoakCallKind::Stream) {
-        const auto whole = m_fleet.wholeStream();
+        const auto whole = m_fleet.completeStream();
         check(absl::StartsWith(whole, call.body), "streams have no gap and no repeat", details);
         check(!call.isComplete || call.body == whole, "streams that look complete are whole", details);
     } else if (call.isComplete) {
@@ -86,8 +87,9 @@
     }
     if (call.isComplete) {
         check(call.isFromEngine, "successes are the engine's", call.id);
-        const auto it = m_fleet.workspaces.find(call.id);
-        check(it != m_fleet.workspaces.end() && it->second == "w", "the workspace is the key's", call.id);
+        const auto it = m_fleet.workspaceByRequest.find(call.id);
+        check(it != m_fleet.workspaceByRequest.end() && it->second == "w", "the workspace is the key's",
+              call.id);
     }
 }
 
@@ -124,10 +126,10 @@
 void Promises::judgeAtTheEnd()
 {
     for (const auto &id : m_refused)
-        check(!m_fleet.runs.contains(id), "not run stays true", id);
+        check(!m_fleet.runsByRequest.contains(id), "not run stays true", id);
     for (const auto &id : m_onceCalls) {
-        const auto it = m_fleet.runs.find(id);
-        check(it == m_fleet.runs.end() || it->second == 1, "at most once", id);
+        const auto it = m_fleet.runsByRequest.find(id);
+        check(it == m_fleet.runsByRequest.end() || it->second == 1, "at most once", id);
     }
 }
 
--- a/Tests/Soak/Promises.h
+++ b/Tests/Soak/Promises.h
@@ -14,7 +14,7 @@
 
 namespace Wisteria {
 
-struct FakeFleet;
+struct FakeEngineState;
 
 enum class SoakCallKind { Stream, Once, Idempotent };
 
@@ -51,7 +51,7 @@
     static constexpr absl::Duration changeBound = absl::Seconds(2);
     static constexpr absl::Duration contact = absl::Seconds(3);
 
-    Promises(const FakeFleet &fleet, const Disturbances &disturbances)
+    Promises(const FakeEngineState &fleet, const Disturbances &disturbances)
         : m_fleet(fleet), m_disturbances(disturbances)
     {
     }
@@ -77,7 +77,7 @@
     [[nodiscard]] bool isObserved(const SoakCall &) const;
     [[nodiscard]] bool wasInTouch(const std::string &router, absl::Time from, absl::Time to) const;
 
-    const FakeFleet &m_fleet;
+    const FakeEngineState &m_fleet;
     const Disturbances &m_disturbances;
     // Calls that were told "not run".
     std::vector<std::string> m_refused;
--- a/Tests/Soak/SoakWorld.cpp
+++ b/Tests/Soak/SoakWorld.cpp
@@ -50,10 +50,10 @@
 SoakWorld::SoakWorld(boost::asio::io_context &context, const SoakOptions &options)
     : m_context(context), m_options(options), m_random(options.seed),
       m_nextPort(detail::firstPort + (getpid() % detail::portParts) * detail::portsOfAPart),
-      m_fleet{.events = 80, .eventInterval = std::chrono::milliseconds(20)}, m_store(context),
+      m_fleet{.eventsPerStream = 80, .eventInterval = std::chrono::milliseconds(20)}, m_store(context),
       m_promises(m_fleet, m_disturbances), m_processTimer(context), m_delayTimer(context)
 {
-    m_fleet.arrived = [this](const std::string &engine) {
+    m_fleet.onRequest = [this](const std::string &engine) {
         if (const auto it = m_leaving.find(engine); it != m_leaving.end())
             m_promises.judgeArrivalAtLeaving(engine, it->second, monotonicNow());
     };
@@ -156,7 +156,7 @@
 
 void SoakWorld::publish(const SoakEngine &it, const std::string &state)
 {
-    m_store.put("servers", it.engine->id(), it.engine->entry(state));
+    m_store.put("servers", it.engine->id(), it.engine->storeRecord(state));
 }
 
 void SoakWorld::noteLeaving(const std::string &engine)
--- a/Tests/Soak/SoakWorld.h
+++ b/Tests/Soak/SoakWorld.h
@@ -67,7 +67,7 @@
     [[nodiscard]] std::vector<SoakRouter> &routers() { return m_routers; }
     [[nodiscard]] std::vector<SoakEngine> &engines() { return m_engines; }
     [[nodiscard]] FakeStore &store() { return m_store; }
-    [[nodiscard]] FakeFleet &fleet() { return m_fleet; }
+    [[nodiscard]] FakeEngineState &fleet() { return m_fleet; }
     [[nodiscard]] Promises &promises() { return m_promises; }
     [[nodiscard]] Disturbances &disturbances() { return m_disturbances; }
     [[nodiscard]] RandomSource &random() { return m_random; }
@@ -105,7 +105,7 @@
     SoakOptions m_options;
     SeededRandom m_random;
     int m_nextPort;
-    FakeFleet m_fleet;
+    FakeEngineState m_fleet;
     FakeStore m_store;
     Disturbances m_disturbances;
     Promises m_promises;
