--- a/Libraries/LibRouting/AdaptivePolicy.cpp
+++ b/Libraries/LibRouting/AdaptivePolicy.cpp
@@ -13,28 +13,28 @@
 // Limits at thrift 0 and at thrift 1; those between are interpolated.
 struct StallRange
 {
-    double leastFactor;
-    double mostFactor;
-    absl::Duration leastFloor;
-    absl::Duration mostFloor;
+    double minFactor;
+    double maxFactor;
+    absl::Duration minFloor;
+    absl::Duration maxFloor;
 };
 
 constexpr StallRange nextTokenRange{2, 8, absl::Milliseconds(250), absl::Seconds(2)};
 constexpr StallRange firstTokenRange{1.5, 4, absl::Seconds(1), absl::Seconds(4)};
 // A re-attach needs no prefill; an engine that still has the stream answers within a round trip.
 constexpr StallRange reattachRange{2, 6, absl::Milliseconds(300), absl::Milliseconds(1500)};
-constexpr absl::Duration longestStallLimit = absl::Seconds(30);
+constexpr absl::Duration maxStallLimit = absl::Seconds(30);
 // Share of the limit that is left when other routers suspect the target too.
-constexpr double suspectShare = 0.5;
+constexpr double suspectFactor = 0.5;
 
-const StallRange &stallRange(SilenceKind kind)
+const StallRange &stallRange(WaitKind kind)
 {
     switch (kind) {
-    case SilenceKind::FirstToken:
+    case WaitKind::FirstToken:
         return firstTokenRange;
-    case SilenceKind::NextToken:
+    case WaitKind::NextToken:
         return nextTokenRange;
-    case SilenceKind::Reattach:
+    case WaitKind::Reattach:
         return reattachRange;
     }
     return nextTokenRange;
@@ -42,22 +42,22 @@
 
 } // namespace detail
 
-absl::Duration AdaptivePolicy::stallLimit(const SilenceView &view) const
+absl::Duration AdaptivePolicy::stallLimit(const StallContext &context) const
 {
-    const auto &range = detail::stallRange(view.kind);
-    const double thrift = std::clamp(view.thrift, 0.0, 1.0);
-    const double factor = range.leastFactor + (range.mostFactor - range.leastFactor) * thrift;
-    const absl::Duration floor = range.leastFloor + (range.mostFloor - range.leastFloor) * thrift;
-    absl::Duration limit = std::max(view.normal * factor, floor);
-    if (view.phase != TargetPhase::Live && view.phase != TargetPhase::Leaving)
-        limit *= detail::suspectShare;
-    return std::min(limit, detail::longestStallLimit);
+    const auto &range = detail::stallRange(context.kind);
+    const double thrift = std::clamp(context.thrift, 0.0, 1.0);
+    const double factor = range.minFactor + (range.maxFactor - range.minFactor) * thrift;
+    const absl::Duration floor = range.minFloor + (range.maxFloor - range.minFloor) * thrift;
+    absl::Duration limit = std::max(context.expectedMaxWait * factor, floor);
+    if (context.phase != TargetPhase::Live && context.phase != TargetPhase::Leaving)
+        limit *= detail::suspectFactor;
+    return std::min(limit, detail::maxStallLimit);
 }
 
-ResumeTarget AdaptivePolicy::resumeTarget(double thrift) const
+ResumeTargetStrategy AdaptivePolicy::targetStrategy(double thrift) const
 {
-    constexpr double cacheMattersFrom = 0.5;
-    return thrift >= cacheMattersFrom ? ResumeTarget::MostCached : ResumeTarget::Spread;
+    constexpr double cacheAffinityMinThrift = 0.5;
+    return thrift >= cacheAffinityMinThrift ? ResumeTargetStrategy::MostCached : ResumeTargetStrategy::Spread;
 }
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/AdaptivePolicy.h
+++ b/Libraries/LibRouting/AdaptivePolicy.h
@@ -10,13 +10,13 @@
 class AdaptivePolicy final : public ResumePolicy
 {
 public:
-    [[nodiscard]] absl::Duration stallLimit(const SilenceView &) const override;
+    [[nodiscard]] absl::Duration stallLimit(const StallContext &) const override;
     // NOTE: A race costs no more than a replacement: the second attempt's prefill is paid either way, and a
     // silent engine does no work. So thrift changes when a race starts, not whether the old stream may win
     // it.
-    [[nodiscard]] StallResponse stallResponse() const override { return StallResponse::Race; }
-    [[nodiscard]] ResumeTarget resumeTarget(double thrift) const override;
-    [[nodiscard]] ReattachUse reattachUse() const override { return ReattachUse::Reattach; }
+    [[nodiscard]] StallResponse stallResponse() const override { return StallResponse::Hedge; }
+    [[nodiscard]] ResumeTargetStrategy targetStrategy(double thrift) const override;
+    [[nodiscard]] ReattachMode reattachMode() const override { return ReattachMode::Reattach; }
 
     static const ResumePolicyRegistration<AdaptivePolicy> registration;
 };
--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -9,13 +9,13 @@
 namespace detail {
 
 // When the queue will have moved on by about half, where its pace is known.
-std::optional<absl::Duration> comeBackAfter(RoutingState &state, std::optional<absl::Duration> wait)
+std::optional<absl::Duration> retryDelayFor(RoutingState &state, std::optional<absl::Duration> wait)
 {
     if (!wait)
         return std::nullopt;
-    constexpr absl::Duration least = absl::Milliseconds(500);
-    constexpr absl::Duration most = absl::Seconds(30);
-    return state.retryAfter(std::clamp(*wait / 2, least, most));
+    constexpr absl::Duration minDelay = absl::Milliseconds(500);
+    constexpr absl::Duration maxDelay = absl::Seconds(30);
+    return state.jitteredRetryDelay(std::clamp(*wait / 2, minDelay, maxDelay));
 }
 
 } // namespace detail
@@ -30,22 +30,22 @@
 {
     // The caller opened a new connection here before the old one was seen to break.
     if (Generation *old = m_state.generations.find(request.generation))
-        m_closer.forget(*old);
-    if (turnedAway(request))
+        m_closer.discard(*old);
+    if (rejectIfInadmissible(request))
         return;
     Generation &generation = m_state.generations.add(request);
     m_state.shares.add(request.workspace);
     const ServiceSpec &service = *m_state.service(request.service);
     generation.model = service.model;
     generation.modelVersion = service.modelVersion;
-    m_state.touch(generation);
+    m_state.markForReschedule(generation);
     if (request.resume)
-        admitReturning(generation, *request.resume);
+        admitResumed(generation, *request.resume);
     else
-        admitFirst(generation);
+        admitNew(generation);
 }
 
-bool Admission::turnedAway(const RequestOpened &request)
+bool Admission::rejectIfInadmissible(const RequestOpened &request)
 {
     auto refuse = [&](ErrorCode code, std::string detail) {
         m_closer.refuse(request.generation, code, std::move(detail));
@@ -55,7 +55,7 @@
         if (!request.resume)
             return refuse(ErrorCode::Draining, "this router stops");
         m_state.record(DecisionKind::HandOver, request.generation, TargetId(), "this router stops");
-        m_state.out.push_back(HandOverGeneration{request.generation});
+        m_state.actions.push_back(HandOverGeneration{request.generation});
         return true;
     }
     if (m_state.freshness == Freshness::MayBeStale && !mayReattach(request))
@@ -78,28 +78,29 @@
 {
     if (!request.resume || request.resume->streamStart > request.resume->received)
         return false;
-    if (m_state.resumePolicy(request.service).reattachUse() == ReattachUse::StartAnew)
+    if (m_state.resumePolicy(request.service).reattachMode() == ReattachMode::Restart)
         return false;
     const TargetState *target = m_state.targets.find(request.resume->target);
-    return target && target->facts().phase != TargetPhase::Gone && target->facts().service == request.service;
+    return target && target->properties().phase != TargetPhase::Gone
+        && target->properties().service == request.service;
 }
 
-void Admission::admitFirst(Generation &generation)
+void Admission::admitNew(Generation &generation)
 {
-    const auto rank =
-        generation.request.urgency == Urgency::Urgent ? WaitingRank::Urgent : WaitingRank::Patient;
+    const auto priority =
+        generation.request.urgency == Urgency::Urgent ? QueuePriority::Urgent : QueuePriority::Patient;
     m_state.budget.noteFirstAttempt(m_state.now);
-    if (isAnyWaitingBefore(generation.request.service, rank)) {
-        enqueue(generation, rank);
+    if (hasQueuedAtOrAbove(generation.request.service, priority)) {
+        enqueue(generation, priority);
         return;
     }
-    const TargetChoice choice = m_launcher.choose(generation, ResumeTarget::BySelector);
+    const TargetChoice choice = m_launcher.choose(generation, ResumeTargetStrategy::BySelector);
     switch (choice.outcome) {
     case TargetChoice::Outcome::Chosen:
         m_launcher.start(generation, choice, DecisionKind::Start);
         break;
-    case TargetChoice::Outcome::NoRoom:
-        enqueue(generation, rank);
+    case TargetChoice::Outcome::NoCapacity:
+        enqueue(generation, priority);
         break;
     case TargetChoice::Outcome::NoTarget:
         m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service takes work");
@@ -107,66 +108,68 @@
     }
 }
 
-void Admission::admitReturning(Generation &generation, const ResumePoint &point)
+void Admission::admitResumed(Generation &generation, const ResumePoint &point)
 {
     generation.next = point.received;
-    if (!generation.isWhole() && mayReattach(generation.request))
+    if (!generation.hasAllTokens() && mayReattach(generation.request))
         m_launcher.reattach(generation, point);
     else
-        m_recovery.goOn(generation);
+        m_recovery.resumeOrRetry(generation);
 }
 
-bool Admission::isAnyWaitingBefore(const ServiceName &service, WaitingRank rank) const
+bool Admission::hasQueuedAtOrAbove(const ServiceName &service, QueuePriority priority) const
 {
-    for (auto it : {WaitingRank::Urgent, WaitingRank::Resume, WaitingRank::Patient}) {
-        if (it <= rank && m_state.queue.front(service, it))
+    for (auto it : {QueuePriority::Urgent, QueuePriority::Resume, QueuePriority::Patient}) {
+        if (it <= priority && m_state.queue.front(service, it))
             return true;
     }
     return false;
 }
 
-void Admission::enqueue(Generation &generation, WaitingRank rank)
+void Admission::enqueue(Generation &generation, QueuePriority priority)
 {
     const ServiceName &service = generation.request.service;
-    const auto wait = m_state.waits.waitAt(service, m_state.queue.sizeUpTo(service, rank), m_state.now);
-    const auto comeBackAfter = detail::comeBackAfter(m_state, wait);
-    if (m_state.queue.size(rank) >= m_state.configuration.preset().maxWaiting) {
-        m_closer.refuse(generation, ErrorCode::Overloaded, "too many requests wait here", comeBackAfter);
+    const auto wait = m_state.waitEstimator.estimateWait(
+        service, m_state.queue.sizeAtOrAbove(service, priority), m_state.now);
+    const auto retryDelay = detail::retryDelayFor(m_state, wait);
+    if (m_state.queue.size(priority) >= m_state.configuration.preset().maxWaiting) {
+        m_closer.refuse(generation, ErrorCode::Overloaded, "too many requests wait here", retryDelay);
         return;
     }
     if (wait && m_state.now + *wait > generation.request.deadline) {
         m_closer.refuse(generation, ErrorCode::Overloaded, "the wait would outlast the caller's timeout",
-                        comeBackAfter);
+                        retryDelay);
         return;
     }
     const WorkspaceSpec &workspace = *m_state.workspace(generation.request.workspace);
-    generation.waiting = rank;
-    m_state.queue.push(generation.request.service, rank, workspace.name, workspace.weight, generation.id());
+    generation.queuePriority = priority;
+    m_state.queue.push(generation.request.service, priority, workspace.name, workspace.weight,
+                       generation.id());
     m_state.record(DecisionKind::Queue, generation.id(), TargetId(), "every target is full");
 }
 
-void Admission::serveQueue()
+void Admission::dispatchQueued()
 {
     for (const auto &service : m_state.queue.services()) {
-        for (auto rank : {WaitingRank::Urgent, WaitingRank::Resume, WaitingRank::Patient})
-            serveQueue(service, rank);
+        for (auto priority : {QueuePriority::Urgent, QueuePriority::Resume, QueuePriority::Patient})
+            dispatchQueued(service, priority);
     }
 }
 
-void Admission::serveQueue(const ServiceName &service, WaitingRank rank)
+void Admission::dispatchQueued(const ServiceName &service, QueuePriority priority)
 {
-    while (auto id = m_state.queue.front(service, rank)) {
+    while (auto id = m_state.queue.front(service, priority)) {
         Generation &generation = *m_state.generations.find(*id);
         if (m_closer.refuseIfExpired(generation))
             continue;
-        const TargetChoice choice = m_launcher.choose(generation, ResumeTarget::BySelector);
-        if (choice.outcome == TargetChoice::Outcome::NoRoom)
+        const TargetChoice choice = m_launcher.choose(generation, ResumeTargetStrategy::BySelector);
+        if (choice.outcome == TargetChoice::Outcome::NoCapacity)
             return;
-        m_state.queue.pop(service, rank);
-        generation.waiting.reset();
+        m_state.queue.pop(service, priority);
+        generation.queuePriority.reset();
         if (choice.outcome == TargetChoice::Outcome::Chosen)
             m_launcher.start(generation, choice,
-                             rank == WaitingRank::Resume ? DecisionKind::Resume : DecisionKind::Start);
+                             priority == QueuePriority::Resume ? DecisionKind::Resume : DecisionKind::Start);
         else
             m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service takes work");
     }
--- a/Libraries/LibRouting/Admission.h
+++ b/Libraries/LibRouting/Admission.h
@@ -13,18 +13,18 @@
 
     void handle(const RequestOpened &);
     // Starts what waits, as far as there is room, and refuses what no target is left for.
-    void serveQueue();
+    void dispatchQueued();
 
 private:
     // Refuses or hands over what must not come in; true when it did.
-    [[nodiscard]] bool turnedAway(const RequestOpened &);
+    [[nodiscard]] bool rejectIfInadmissible(const RequestOpened &);
     [[nodiscard]] bool mayReattach(const RequestOpened &) const;
-    [[nodiscard]] bool isAnyWaitingBefore(const ServiceName &, WaitingRank) const;
+    [[nodiscard]] bool hasQueuedAtOrAbove(const ServiceName &, QueuePriority) const;
 
-    void admitFirst(Generation &);
-    void admitReturning(Generation &, const ResumePoint &);
-    void enqueue(Generation &, WaitingRank);
-    void serveQueue(const ServiceName &, WaitingRank);
+    void admitNew(Generation &);
+    void admitResumed(Generation &, const ResumePoint &);
+    void enqueue(Generation &, QueuePriority);
+    void dispatchQueued(const ServiceName &, QueuePriority);
 
     RoutingState &m_state;
     AttemptLauncher &m_launcher;
--- a/Libraries/LibRouting/AdmissionQueue.cpp
+++ b/Libraries/LibRouting/AdmissionQueue.cpp
@@ -8,14 +8,14 @@
 
 namespace detail {
 
-template <typename Lanes>
-auto earliestLane(Lanes &lanes)
+template <typename Flows>
+auto flowWithEarliestStart(Flows &flows)
 {
-    auto best = lanes.end();
-    for (auto it = lanes.begin(); it != lanes.end(); ++it) {
+    auto best = flows.end();
+    for (auto it = flows.begin(); it != flows.end(); ++it) {
         if (it->second.items.empty())
             continue;
-        if (best == lanes.end() || it->second.start < best->second.start)
+        if (best == flows.end() || it->second.startTag < best->second.startTag)
             best = it;
     }
     return best;
@@ -23,38 +23,38 @@
 
 } // namespace detail
 
-void AdmissionQueue::push(const ServiceName &service, WaitingRank rank, const WorkspaceName &workspace,
+void AdmissionQueue::push(const ServiceName &service, QueuePriority priority, const WorkspaceName &workspace,
                           double weight, const GenerationId &generation)
 {
-    constexpr double leastWeight = 0.001;
-    RankQueue &queue = m_services[service][rank];
-    Lane &lane = queue.lanes[workspace];
-    if (lane.items.empty())
-        lane.start = std::max(lane.start, queue.now);
-    lane.items.push_back(Item{generation, 1 / std::max(weight, leastWeight)});
-    ++m_sizes[rank];
+    constexpr double minWeight = 0.001;
+    FairQueue &queue = m_services[service][priority];
+    Flow &flow = queue.flows[workspace];
+    if (flow.items.empty())
+        flow.startTag = std::max(flow.startTag, queue.virtualTime);
+    flow.items.push_back(Item{generation, 1 / std::max(weight, minWeight)});
+    ++m_sizes[priority];
 }
 
-std::optional<GenerationId> AdmissionQueue::front(const ServiceName &service, WaitingRank rank) const
+std::optional<GenerationId> AdmissionQueue::front(const ServiceName &service, QueuePriority priority) const
 {
-    const RankQueue *queue = find(service, rank);
+    const FairQueue *queue = find(service, priority);
     if (!queue)
         return std::nullopt;
-    auto it = detail::earliestLane(queue->lanes);
-    if (it == queue->lanes.end())
+    auto it = detail::flowWithEarliestStart(queue->flows);
+    if (it == queue->flows.end())
         return std::nullopt;
     return it->second.items.front().generation;
 }
 
-void AdmissionQueue::pop(const ServiceName &service, WaitingRank rank)
+void AdmissionQueue::pop(const ServiceName &service, QueuePriority priority)
 {
-    RankQueue &queue = m_services.at(service).at(rank);
-    Lane &lane = detail::earliestLane(queue.lanes)->second;
-    queue.now = lane.start;
-    lane.start += lane.items.front().cost;
-    lane.items.pop_front();
-    --m_sizes[rank];
-    dropIfEmpty(service);
+    FairQueue &queue = m_services.at(service).at(priority);
+    Flow &flow = detail::flowWithEarliestStart(queue.flows)->second;
+    queue.virtualTime = flow.startTag;
+    flow.startTag += flow.items.front().cost;
+    flow.items.pop_front();
+    --m_sizes[priority];
+    eraseIfEmpty(service);
 }
 
 void AdmissionQueue::remove(const ServiceName &service, const GenerationId &generation)
@@ -62,12 +62,12 @@
     auto found = m_services.find(service);
     if (found == m_services.end())
         return;
-    for (auto &[rank, queue] : found->second) {
-        for (auto &[workspace, lane] : queue.lanes)
-            m_sizes[rank] -=
-                std::erase_if(lane.items, [&](const Item &item) { return item.generation == generation; });
+    for (auto &[priority, queue] : found->second) {
+        for (auto &[workspace, flow] : queue.flows)
+            m_sizes[priority] -=
+                std::erase_if(flow.items, [&](const Item &item) { return item.generation == generation; });
     }
-    dropIfEmpty(service);
+    eraseIfEmpty(service);
 }
 
 std::vector<ServiceName> AdmissionQueue::services() const
@@ -78,39 +78,40 @@
     return out;
 }
 
-std::size_t AdmissionQueue::size(WaitingRank rank) const
+std::size_t AdmissionQueue::size(QueuePriority priority) const
 {
-    auto it = m_sizes.find(rank);
+    auto it = m_sizes.find(priority);
     return it == m_sizes.end() ? 0 : it->second;
 }
 
-std::size_t AdmissionQueue::sizeUpTo(const ServiceName &service, WaitingRank rank) const
+std::size_t AdmissionQueue::sizeAtOrAbove(const ServiceName &service, QueuePriority priority) const
 {
     std::size_t n = 0;
-    for (auto it : {WaitingRank::Urgent, WaitingRank::Resume, WaitingRank::Patient}) {
-        const RankQueue *queue = it <= rank ? find(service, it) : nullptr;
+    for (auto it : {QueuePriority::Urgent, QueuePriority::Resume, QueuePriority::Patient}) {
+        const FairQueue *queue = it <= priority ? find(service, it) : nullptr;
         if (!queue)
             continue;
-        for (const auto &[workspace, lane] : queue->lanes)
-            n += lane.items.size();
+        for (const auto &[workspace, flow] : queue->flows)
+            n += flow.items.size();
     }
     return n;
 }
 
-const AdmissionQueue::RankQueue *AdmissionQueue::find(const ServiceName &service, WaitingRank rank) const
+const AdmissionQueue::FairQueue *AdmissionQueue::find(const ServiceName &service,
+                                                      QueuePriority priority) const
 {
     auto it = m_services.find(service);
     if (it == m_services.end())
         return nullptr;
-    auto found = it->second.find(rank);
+    auto found = it->second.find(priority);
     return found == it->second.end() ? nullptr : &found->second;
 }
 
-void AdmissionQueue::dropIfEmpty(const ServiceName &service)
+void AdmissionQueue::eraseIfEmpty(const ServiceName &service)
 {
     auto it = m_services.find(service);
     const bool empty = std::ranges::all_of(it->second, [](const auto &entry) {
-        return detail::earliestLane(entry.second.lanes) == entry.second.lanes.end();
+        return detail::flowWithEarliestStart(entry.second.flows) == entry.second.flows.end();
     });
     if (empty)
         m_services.erase(it);
--- a/Libraries/LibRouting/AffinitySelector.cpp
+++ b/Libraries/LibRouting/AffinitySelector.cpp
@@ -14,31 +14,31 @@
 namespace detail {
 
 // How much more an engine counts that is said to hold the prompt's head.
-constexpr double cachedWeight = 8;
+constexpr double cachedPrefixWeight = 8;
 // Keeps the order among engines that are all full.
-constexpr double leastFreeShare = 0.01;
+constexpr double minFreeShare = 0.01;
 
 // A fixed number in (0, 1) for each pair of head and target.
-double rendezvousDraw(PromptHead head, const TargetId &target)
+double rendezvousUniform(PromptPrefixHash prefixHash, const TargetId &target)
 {
     const std::string &name = target.value();
-    const std::uint64_t hash = XXH3_64bits_withSeed(name.data(), name.size(), head.value());
+    const std::uint64_t hash = XXH3_64bits_withSeed(name.data(), name.size(), prefixHash.value());
     constexpr int mantissaBits = 53;
     return (static_cast<double>(hash >> (64 - mantissaBits)) + 0.5) / std::exp2(mantissaBits);
 }
 
-double rendezvousScore(const TargetCandidate &candidate, PromptHead head)
+double rendezvousScore(const TargetCandidate &candidate, PromptPrefixHash prefixHash)
 {
-    const double free = std::max(1 - candidate.utilisation(), leastFreeShare);
-    const double weight = free * free * (candidate.holdsHead ? cachedWeight : 1);
-    return -weight / std::log(rendezvousDraw(head, candidate.id));
+    const double free = std::max(1 - candidate.utilisation(), minFreeShare);
+    const double weight = free * free * (candidate.hasCachedPrefix ? cachedPrefixWeight : 1);
+    return -weight / std::log(rendezvousUniform(prefixHash, candidate.id));
 }
 
 } // namespace detail
 
-std::size_t AffinitySelector::select(std::span<const TargetCandidate> candidates, PromptHead head)
+std::size_t AffinitySelector::select(std::span<const TargetCandidate> candidates, PromptPrefixHash prefixHash)
 {
-    auto score = [&](const TargetCandidate &it) { return detail::rendezvousScore(it, head); };
+    auto score = [&](const TargetCandidate &it) { return detail::rendezvousScore(it, prefixHash); };
     auto best = std::ranges::max_element(candidates, {}, score);
     return static_cast<std::size_t>(best - candidates.begin());
 }
--- a/Libraries/LibRouting/AffinitySelector.h
+++ b/Libraries/LibRouting/AffinitySelector.h
@@ -10,7 +10,7 @@
 class AffinitySelector final : public TargetSelector
 {
 public:
-    [[nodiscard]] std::size_t select(std::span<const TargetCandidate>, PromptHead) override;
+    [[nodiscard]] std::size_t select(std::span<const TargetCandidate>, PromptPrefixHash) override;
     [[nodiscard]] std::string_view reason() const override { return "affinity"; }
 
     static const TargetSelectorRegistration<AffinitySelector> registration;
--- a/Libraries/LibRouting/AttemptLauncher.cpp
+++ b/Libraries/LibRouting/AttemptLauncher.cpp
@@ -2,7 +2,7 @@
 
 #include <LibRouting/AttemptLauncher.h>
 
-#include <LibRouting/SpreadChoice.h>
+#include <LibRouting/SpreadTargetSelection.h>
 
 #include <absl/strings/str_cat.h>
 
@@ -26,8 +26,8 @@
 std::size_t leastLoadedCached(std::span<const TargetCandidate> candidates)
 {
     auto better = [](const TargetCandidate &a, const TargetCandidate &b) {
-        if (a.holdsHead != b.holdsHead)
-            return a.holdsHead;
+        if (a.hasCachedPrefix != b.hasCachedPrefix)
+            return a.hasCachedPrefix;
         return a.utilisation() < b.utilisation();
     };
     return static_cast<std::size_t>(std::ranges::min_element(candidates, better) - candidates.begin());
@@ -39,7 +39,7 @@
 {
     CandidateQuery query;
     query.service = generation.request.service;
-    query.head = generation.request.head;
+    query.prefixHash = generation.request.prefixHash;
     query.slotClass = detail::slotClassFor(generation);
     query.urgentReserve = m_state.configuration.preset().urgentReserve;
     query.failed = generation.failedTargets;
@@ -48,19 +48,19 @@
     return query;
 }
 
-std::size_t AttemptLauncher::select(const Generation &generation, ResumeTarget how,
+std::size_t AttemptLauncher::select(const Generation &generation, ResumeTargetStrategy strategy,
                                     std::span<const TargetCandidate> candidates) const
 {
-    const PromptHead head = generation.request.head;
-    switch (how) {
-    case ResumeTarget::BySelector:
-        return m_state.selector->select(candidates, head);
-    case ResumeTarget::MostCached:
+    const PromptPrefixHash prefixHash = generation.request.prefixHash;
+    switch (strategy) {
+    case ResumeTargetStrategy::BySelector:
+        return m_state.selector->select(candidates, prefixHash);
+    case ResumeTargetStrategy::MostCached:
         return detail::leastLoadedCached(candidates);
-    case ResumeTarget::RoundRobin:
-        return m_state.roundRobin.select(candidates, head);
-    case ResumeTarget::Spread:
-        return spreadChoice(candidates, generation.id(), lostDomain(generation));
+    case ResumeTargetStrategy::RoundRobin:
+        return m_state.roundRobin.select(candidates, prefixHash);
+    case ResumeTargetStrategy::Spread:
+        return selectSpreadTarget(candidates, generation.id(), lostDomain(generation));
     }
     return 0;
 }
@@ -74,26 +74,27 @@
     else if (!generation.failedTargets.empty())
         lost = &generation.failedTargets.back();
     const TargetState *target = lost ? m_state.targets.find(*lost) : nullptr;
-    return target ? std::optional(target->facts().domain) : std::nullopt;
+    return target ? std::optional(target->properties().domain) : std::nullopt;
 }
 
-TargetChoice AttemptLauncher::choose(const Generation &generation, ResumeTarget how) const
+TargetChoice AttemptLauncher::choose(const Generation &generation, ResumeTargetStrategy strategy) const
 {
     const Candidates candidates = m_state.targets.candidates(queryFor(generation), m_state.now);
     TargetChoice choice;
     if (!candidates.anyExists)
         return choice;
-    choice.outcome = TargetChoice::Outcome::NoRoom;
-    if (candidates.withRoom.empty())
+    choice.outcome = TargetChoice::Outcome::NoCapacity;
+    if (candidates.available.empty())
         return choice;
-    const std::size_t chosen = select(generation, how, candidates.withRoom);
-    const TargetCandidate &target = candidates.withRoom[chosen];
+    const std::size_t chosen = select(generation, strategy, candidates.available);
+    const TargetCandidate &target = candidates.available[chosen];
     choice.outcome = TargetChoice::Outcome::Chosen;
     choice.target = target.id;
     choice.reason = absl::StrCat(
-        std::string(how == ResumeTarget::BySelector ? m_state.selector->reason() : "resume policy"),
-        ", load ", target.load, "/", target.slots, target.holdsHead ? ", holds the prompt's head" : "");
-    for (const auto &it : candidates.withRoom) {
+        std::string(strategy == ResumeTargetStrategy::BySelector ? m_state.selector->reason()
+                                                                 : "resume policy"),
+        ", load ", target.load, "/", target.slots, target.hasCachedPrefix ? ", holds the prompt's head" : "");
+    for (const auto &it : candidates.available) {
         if (it.id != target.id && choice.alternatives.size() < detail::maxAlternatives)
             choice.alternatives.push_back(it.id);
     }
@@ -103,9 +104,9 @@
 void AttemptLauncher::start(Generation &generation, const TargetChoice &choice, DecisionKind kind)
 {
     TargetState *target = m_state.targets.find(choice.target);
-    target->noteAttemptBegun(m_state.now);
-    target->cache().noteStored(generation.request.head);
-    ++generation.attemptsMade;
+    target->noteAttemptStarted(m_state.now);
+    target->cache().noteStored(generation.request.prefixHash);
+    ++generation.attemptsStarted;
     ++generation.attemptsSinceProgress;
     const Attempt &attempt = m_state.generations.addAttempt(generation,
                                                             Attempt{.target = choice.target,
@@ -113,15 +114,15 @@
                                                                     .startedAt = m_state.now,
                                                                     .lastProgress = m_state.now});
     m_state.record(kind, generation.id(), choice.target, choice.reason, choice.alternatives);
-    m_state.out.push_back(StartAttempt{attempt.id, generation.id(), choice.target, generation.next,
-                                       generation.request.urgency});
-    m_state.touch(generation);
+    m_state.actions.push_back(StartAttempt{attempt.id, generation.id(), choice.target, generation.next,
+                                           generation.request.urgency});
+    m_state.markForReschedule(generation);
 }
 
 void AttemptLauncher::reattach(Generation &generation, const ResumePoint &point)
 {
-    m_state.targets.find(point.target)->noteReattachBegun();
-    ++generation.attemptsMade;
+    m_state.targets.find(point.target)->noteReattachStarted();
+    ++generation.attemptsStarted;
     ++generation.attemptsSinceProgress;
     const Attempt &attempt = m_state.generations.addAttempt(generation,
                                                             Attempt{.target = point.target,
@@ -131,15 +132,15 @@
                                                                     .startedAt = m_state.now,
                                                                     .lastProgress = m_state.now});
     m_state.record(DecisionKind::Reattach, generation.id(), point.target, "the stream may still run");
-    m_state.out.push_back(ReattachAttempt{attempt.id, generation.id(), point.target, point.stream,
-                                          point.streamStart, generation.next});
-    m_state.touch(generation);
+    m_state.actions.push_back(ReattachAttempt{attempt.id, generation.id(), point.target, point.stream,
+                                              point.streamStart, generation.next});
+    m_state.markForReschedule(generation);
 }
 
 void AttemptLauncher::cancel(Generation &generation, AttemptId id)
 {
     release(generation, id);
-    m_state.out.push_back(CancelAttempt{id});
+    m_state.actions.push_back(CancelAttempt{id});
 }
 
 void AttemptLauncher::cancelAllBut(Generation &generation, AttemptId winner)
@@ -158,8 +159,8 @@
     const Attempt attempt = m_state.generations.removeAttempt(generation, id);
     if (TargetState *target = m_state.targets.find(attempt.target))
         target->noteAttemptEnded(m_state.now);
-    m_state.roomMayHaveChanged = true;
-    m_state.touch(generation);
+    m_state.capacityMayHaveChanged = true;
+    m_state.markForReschedule(generation);
 }
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/AttemptLauncher.h
+++ b/Libraries/LibRouting/AttemptLauncher.h
@@ -9,7 +9,7 @@
 // The target of a further attempt, or why there is none.
 struct TargetChoice
 {
-    enum class Outcome { Chosen, NoRoom, NoTarget };
+    enum class Outcome { Chosen, NoCapacity, NoTarget };
 
     Outcome outcome{Outcome::NoTarget};
     TargetId target;
@@ -22,7 +22,7 @@
 public:
     explicit AttemptLauncher(RoutingState &state) : m_state(state) { }
 
-    [[nodiscard]] TargetChoice choose(const Generation &, ResumeTarget) const;
+    [[nodiscard]] TargetChoice choose(const Generation &, ResumeTargetStrategy) const;
     // Opens a stream with the prefix below the generation's next offset.
     void start(Generation &, const TargetChoice &, DecisionKind);
     // Attaches to the stream that an earlier router opened.
@@ -36,7 +36,7 @@
 
 private:
     [[nodiscard]] CandidateQuery queryFor(const Generation &) const;
-    [[nodiscard]] std::size_t select(const Generation &, ResumeTarget,
+    [[nodiscard]] std::size_t select(const Generation &, ResumeTargetStrategy,
                                      std::span<const TargetCandidate>) const;
     // The failure domain in which the generation's latest attempt was lost.
     [[nodiscard]] std::optional<FailureDomain> lostDomain(const Generation &) const;
--- a/Libraries/LibRouting/BuiltInPlugins.cpp
+++ b/Libraries/LibRouting/BuiltInPlugins.cpp
@@ -13,7 +13,7 @@
 
 namespace Wisteria::detail {
 
-void keepBuiltInPlugins()
+void linkBuiltInPlugins()
 {
     static const std::array<const void *, 6> registrations = {
         &AdaptivePolicy::registration,      &FixedStallPolicy::registration,
--- a/Libraries/LibRouting/BuiltInPlugins.h
+++ b/Libraries/LibRouting/BuiltInPlugins.h
@@ -5,6 +5,6 @@
 namespace Wisteria::detail {
 
 // Refers to each built-in plug-in, since a linker drops an archive's objects to which nothing refers.
-void keepBuiltInPlugins();
+void linkBuiltInPlugins();
 
 } // namespace Wisteria::detail
--- a/Libraries/LibRouting/CacheHints.cpp
+++ b/Libraries/LibRouting/CacheHints.cpp
@@ -4,29 +4,29 @@
 
 namespace Wisteria {
 
-void CacheHints::noteStored(PromptHead head)
+void CacheHints::noteStored(PromptPrefixHash prefixHash)
 {
-    noteEvicted(head);
-    if (m_heads.size() >= maxHeads) {
-        m_places.erase(m_heads.front());
-        m_heads.pop_front();
+    noteEvicted(prefixHash);
+    if (m_lruOrder.size() >= maxEntries) {
+        m_positions.erase(m_lruOrder.front());
+        m_lruOrder.pop_front();
     }
-    m_places[head] = m_heads.insert(m_heads.end(), head);
+    m_positions[prefixHash] = m_lruOrder.insert(m_lruOrder.end(), prefixHash);
 }
 
-void CacheHints::noteEvicted(PromptHead head)
+void CacheHints::noteEvicted(PromptPrefixHash prefixHash)
 {
-    auto it = m_places.find(head);
-    if (it == m_places.end())
+    auto it = m_positions.find(prefixHash);
+    if (it == m_positions.end())
         return;
-    m_heads.erase(it->second);
-    m_places.erase(it);
+    m_lruOrder.erase(it->second);
+    m_positions.erase(it);
 }
 
 void CacheHints::clear()
 {
-    m_heads.clear();
-    m_places.clear();
+    m_lruOrder.clear();
+    m_positions.clear();
 }
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/CacheHints.h
+++ b/Libraries/LibRouting/CacheHints.h
@@ -17,17 +17,17 @@
 {
 public:
     // Heads remembered for one engine. With 600 engines this stays below 30 MB.
-    static constexpr std::size_t maxHeads = 512;
+    static constexpr std::size_t maxEntries = 512;
 
-    void noteStored(PromptHead);
-    void noteEvicted(PromptHead);
+    void noteStored(PromptPrefixHash);
+    void noteEvicted(PromptPrefixHash);
     void clear();
-    [[nodiscard]] bool holds(PromptHead head) const { return m_places.contains(head); }
+    [[nodiscard]] bool holds(PromptPrefixHash prefixHash) const { return m_positions.contains(prefixHash); }
 
 private:
-    // Least recently used first. Invariant: has the keys of m_places, at most maxHeads.
-    std::list<PromptHead> m_heads;
-    absl::flat_hash_map<PromptHead, std::list<PromptHead>::iterator> m_places;
+    // Least recently used first. Invariant: has the keys of m_positions, at most maxEntries.
+    std::list<PromptPrefixHash> m_lruOrder;
+    absl::flat_hash_map<PromptPrefixHash, std::list<PromptPrefixHash>::iterator> m_positions;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/Events.cpp
+++ b/Libraries/LibRouting/Events.cpp
@@ -28,7 +28,7 @@
         return "queue";
     case DecisionKind::Resume:
         return "resume";
-    case DecisionKind::Race:
+    case DecisionKind::Hedge:
         return "race";
     case DecisionKind::Reattach:
         return "reattach";
--- a/Libraries/LibRouting/Events.h
+++ b/Libraries/LibRouting/Events.h
@@ -20,7 +20,7 @@
 namespace Wisteria {
 
 // A hash of a prompt's first block; equal heads share an engine's cached prefix.
-using PromptHead = StrongId<struct PromptHeadTag, std::uint64_t>;
+using PromptPrefixHash = StrongId<struct PromptPrefixHashTag, std::uint64_t>;
 
 // Live targets take work. Suspect ones take it only when no other is left. Leaving ones finish what runs.
 enum class TargetPhase { Live, Suspect, Leaving, Gone };
@@ -62,7 +62,7 @@
     WorkspaceName workspace;
     ServiceName service;
     Urgency urgency{Urgency::Patient};
-    PromptHead head;
+    PromptPrefixHash prefixHash;
     std::uint32_t promptTokens{0};
     std::uint32_t maxTokens{0};
     // When the caller stops waiting.
@@ -129,8 +129,8 @@
 struct CacheReported
 {
     TargetId target;
-    std::vector<PromptHead> stored;
-    std::vector<PromptHead> evicted;
+    std::vector<PromptPrefixHash> stored;
+    std::vector<PromptPrefixHash> evicted;
 };
 
 struct ConfigurationChanged
@@ -149,7 +149,7 @@
 {
     WorkspaceName workspace;
     // Generations that run or wait at all other live routers together.
-    std::uint32_t elsewhere{0};
+    std::uint32_t remoteGenerations{0};
     std::uint32_t liveRouters{1};
 };
 
@@ -231,7 +231,7 @@
     GenerationId generation;
 };
 
-enum class DecisionKind { Start, Queue, Resume, Race, Reattach, Adopt, Refuse, HandOver, Complete };
+enum class DecisionKind { Start, Queue, Resume, Hedge, Reattach, Adopt, Refuse, HandOver, Complete };
 [[nodiscard]] std::string_view decisionName(DecisionKind);
 
 // One log line: what was decided for which request, the alternatives and the reason.
--- a/Libraries/LibRouting/FixedStallPolicy.h
+++ b/Libraries/LibRouting/FixedStallPolicy.h
@@ -9,10 +9,13 @@
 class FixedStallPolicy final : public ResumePolicy
 {
 public:
-    [[nodiscard]] absl::Duration stallLimit(const SilenceView &) const override { return absl::Seconds(2); }
-    [[nodiscard]] StallResponse stallResponse() const override { return StallResponse::Race; }
-    [[nodiscard]] ResumeTarget resumeTarget(double) const override { return ResumeTarget::BySelector; }
-    [[nodiscard]] ReattachUse reattachUse() const override { return ReattachUse::Reattach; }
+    [[nodiscard]] absl::Duration stallLimit(const StallContext &) const override { return absl::Seconds(2); }
+    [[nodiscard]] StallResponse stallResponse() const override { return StallResponse::Hedge; }
+    [[nodiscard]] ResumeTargetStrategy targetStrategy(double) const override
+    {
+        return ResumeTargetStrategy::BySelector;
+    }
+    [[nodiscard]] ReattachMode reattachMode() const override { return ReattachMode::Reattach; }
 
     static const ResumePolicyRegistration<FixedStallPolicy> registration;
 };
--- a/Libraries/LibRouting/Generation.h
+++ b/Libraries/LibRouting/Generation.h
@@ -46,23 +46,26 @@
     // Invariant: empty while several attempts race; else empty or the only attempt.
     std::optional<AttemptId> adopted;
     // Set while the generation waits for a slot.
-    std::optional<WaitingRank> waiting;
+    std::optional<QueuePriority> queuePriority;
 
-    std::uint32_t attemptsMade{0};
+    std::uint32_t attemptsStarted{0};
     std::uint32_t attemptsSinceProgress{0};
     // Targets that failed the generation since its last token.
     std::vector<TargetId> failedTargets;
     // When the next attempt is made, while it is put off. Its share of the retry budget is taken already.
     std::optional<absl::Time> resumeAt;
     // Silences are not looked at again before.
-    absl::Time quietUntil{absl::InfinitePast()};
+    absl::Time nextStallCheck{absl::InfinitePast()};
     // When the generation is due in the wake-up queue.
     absl::Time wakeUpAt{absl::InfiniteFuture()};
 
     [[nodiscard]] const GenerationId &id() const { return request.generation; }
     [[nodiscard]] bool hasDelivered() const { return next.value() > 0; }
     // All tokens are there; only the engine's closing word is missing.
-    [[nodiscard]] bool isWhole() const { return request.maxTokens > 0 && next.value() >= request.maxTokens; }
+    [[nodiscard]] bool hasAllTokens() const
+    {
+        return request.maxTokens > 0 && next.value() >= request.maxTokens;
+    }
     [[nodiscard]] Attempt *find(AttemptId);
 };
 
--- a/Libraries/LibRouting/GenerationCloser.cpp
+++ b/Libraries/LibRouting/GenerationCloser.cpp
@@ -19,14 +19,14 @@
     const TargetId target = generation.attempts.empty() ? TargetId() : generation.attempts.front().target;
     m_state.record(DecisionKind::Complete, generation.id(), target,
                    reason == FinishReason::Stop ? "stop" : "length");
-    m_state.out.push_back(CompleteGeneration{generation.id(), generation.next, reason});
+    m_state.actions.push_back(CompleteGeneration{generation.id(), generation.next, reason});
     remove(generation);
 }
 
 void GenerationCloser::refuse(Generation &generation, ErrorCode code, std::string detail,
-                              std::optional<absl::Duration> comeBackAfter)
+                              std::optional<absl::Duration> retryDelay)
 {
-    refuse(generation.id(), code, std::move(detail), comeBackAfter);
+    refuse(generation.id(), code, std::move(detail), retryDelay);
     remove(generation);
 }
 
@@ -41,7 +41,7 @@
 void GenerationCloser::handOver(Generation &generation)
 {
     m_state.record(DecisionKind::HandOver, generation.id(), TargetId(), "this router stops");
-    m_state.out.push_back(HandOverGeneration{generation.id()});
+    m_state.actions.push_back(HandOverGeneration{generation.id()});
     // The stream runs on for the next router; only what the caller cannot name is cancelled.
     std::vector<AttemptId> kept;
     for (const auto &it : generation.attempts) {
@@ -53,45 +53,45 @@
     remove(generation);
 }
 
-void GenerationCloser::forget(Generation &generation)
+void GenerationCloser::discard(Generation &generation)
 {
     remove(generation);
 }
 
 void GenerationCloser::refuse(const GenerationId &id, ErrorCode code, std::string detail,
-                              std::optional<absl::Duration> comeBackAfter)
+                              std::optional<absl::Duration> retryDelay)
 {
     m_state.record(DecisionKind::Refuse, id, TargetId(),
                    std::string(errorName(code)) + (detail.empty() ? "" : ": " + detail));
-    m_state.out.push_back(RefuseGeneration{
-        id, Error{code, std::move(detail), comeBackAfter ? comeBackAfter : retryAfter(code)}});
+    m_state.actions.push_back(RefuseGeneration{
+        id, Error{code, std::move(detail), retryDelay ? retryDelay : defaultRetryDelay(code)}});
 }
 
 void GenerationCloser::remove(Generation &generation)
 {
     while (!generation.attempts.empty())
         m_launcher.cancel(generation, generation.attempts.back().id);
-    if (generation.attemptsMade > 0)
-        m_state.waits.noteGenerationEnded(generation.request.service, m_state.now);
-    if (generation.waiting)
+    if (generation.attemptsStarted > 0)
+        m_state.waitEstimator.noteGenerationEnded(generation.request.service, m_state.now);
+    if (generation.queuePriority)
         m_state.queue.remove(generation.request.service, generation.id());
     m_state.shares.remove(generation.request.workspace);
-    m_state.touched.erase(generation.id());
+    m_state.pendingReschedule.erase(generation.id());
     m_state.generations.remove(generation);
 }
 
-std::optional<absl::Duration> GenerationCloser::retryAfter(ErrorCode code)
+std::optional<absl::Duration> GenerationCloser::defaultRetryDelay(ErrorCode code)
 {
     switch (code) {
     case ErrorCode::Draining:
-        return m_state.retryAfter(absl::Milliseconds(100));
+        return m_state.jitteredRetryDelay(absl::Milliseconds(100));
     case ErrorCode::WorkspaceLimitReached:
     case ErrorCode::Overloaded:
     case ErrorCode::ConfigurationStale:
-        return m_state.retryAfter(absl::Seconds(1));
+        return m_state.jitteredRetryDelay(absl::Seconds(1));
     case ErrorCode::NoTargetAvailable:
     case ErrorCode::RetryBudgetExhausted:
-        return m_state.retryAfter(absl::Seconds(2));
+        return m_state.jitteredRetryDelay(absl::Seconds(2));
     default:
         return std::nullopt;
     }
--- a/Libraries/LibRouting/GenerationCloser.h
+++ b/Libraries/LibRouting/GenerationCloser.h
@@ -14,22 +14,22 @@
 
     // The reference is dead after each of these.
     void complete(Generation &, FinishReason);
-    // A wait of which more is known than its kind tells goes in as `comeBackAfter`.
+    // A wait of which more is known than its kind tells goes in as `retryDelay`.
     void refuse(Generation &, ErrorCode, std::string detail,
-                std::optional<absl::Duration> comeBackAfter = std::nullopt);
+                std::optional<absl::Duration> retryDelay = std::nullopt);
     void handOver(Generation &);
-    void forget(Generation &);
+    void discard(Generation &);
 
     // Refuses the generation once its caller has stopped waiting; true when it did. A host that was paused
     // may bring other events before the Tick of a deadline.
     [[nodiscard]] bool refuseIfExpired(Generation &);
     // Refuses a request that was not admitted.
     void refuse(const GenerationId &, ErrorCode, std::string detail,
-                std::optional<absl::Duration> comeBackAfter = std::nullopt);
+                std::optional<absl::Duration> retryDelay = std::nullopt);
 
 private:
     void remove(Generation &);
-    [[nodiscard]] std::optional<absl::Duration> retryAfter(ErrorCode);
+    [[nodiscard]] std::optional<absl::Duration> defaultRetryDelay(ErrorCode);
 
     RoutingState &m_state;
     AttemptLauncher &m_launcher;
--- a/Libraries/LibRouting/GenerationTable.cpp
+++ b/Libraries/LibRouting/GenerationTable.cpp
@@ -21,7 +21,7 @@
 void GenerationTable::remove(Generation &generation)
 {
     VERIFY(generation.attempts.empty());
-    wakeUp(generation, absl::InfiniteFuture());
+    scheduleWakeUp(generation, absl::InfiniteFuture());
     const GenerationId id = generation.id();
     m_generations.erase(id);
 }
@@ -67,7 +67,7 @@
     return attempt;
 }
 
-void GenerationTable::wakeUp(Generation &generation, absl::Time at)
+void GenerationTable::scheduleWakeUp(Generation &generation, absl::Time at)
 {
     if (generation.wakeUpAt == at)
         return;
@@ -83,12 +83,12 @@
     return m_wakeUps.empty() ? absl::InfiniteFuture() : m_wakeUps.begin()->first;
 }
 
-Generation *GenerationTable::takeDue(absl::Time now)
+Generation *GenerationTable::popDue(absl::Time now)
 {
     if (nextWakeUp() > now)
         return nullptr;
     Generation *generation = find(m_wakeUps.begin()->second);
-    wakeUp(*generation, absl::InfiniteFuture());
+    scheduleWakeUp(*generation, absl::InfiniteFuture());
     return generation;
 }
 
--- a/Libraries/LibRouting/GenerationTable.h
+++ b/Libraries/LibRouting/GenerationTable.h
@@ -34,10 +34,10 @@
     Attempt removeAttempt(Generation &, AttemptId);
 
     // Moves the generation's wake-up.
-    void wakeUp(Generation &, absl::Time at);
+    void scheduleWakeUp(Generation &, absl::Time at);
     [[nodiscard]] absl::Time nextWakeUp() const;
     // Takes a generation whose wake-up is due; null when there is none.
-    [[nodiscard]] Generation *takeDue(absl::Time now);
+    [[nodiscard]] Generation *popDue(absl::Time now);
 
 private:
     std::map<GenerationId, std::unique_ptr<Generation>> m_generations;
--- a/Libraries/LibRouting/LeastLoadedSelector.cpp
+++ b/Libraries/LibRouting/LeastLoadedSelector.cpp
@@ -8,7 +8,7 @@
 
 const TargetSelectorRegistration<LeastLoadedSelector> LeastLoadedSelector::registration{"least-loaded"};
 
-std::size_t LeastLoadedSelector::select(std::span<const TargetCandidate> candidates, PromptHead)
+std::size_t LeastLoadedSelector::select(std::span<const TargetCandidate> candidates, PromptPrefixHash)
 {
     auto best = std::ranges::min_element(candidates, {}, &TargetCandidate::utilisation);
     return static_cast<std::size_t>(best - candidates.begin());
--- a/Libraries/LibRouting/LeastLoadedSelector.h
+++ b/Libraries/LibRouting/LeastLoadedSelector.h
@@ -9,7 +9,7 @@
 class LeastLoadedSelector final : public TargetSelector
 {
 public:
-    [[nodiscard]] std::size_t select(std::span<const TargetCandidate>, PromptHead) override;
+    [[nodiscard]] std::size_t select(std::span<const TargetCandidate>, PromptPrefixHash) override;
     [[nodiscard]] std::string_view reason() const override { return "least-loaded"; }
 
     static const TargetSelectorRegistration<LeastLoadedSelector> registration;
--- a/Libraries/LibRouting/Recovery.cpp
+++ b/Libraries/LibRouting/Recovery.cpp
@@ -9,27 +9,27 @@
 namespace detail {
 
 // Attempts in a row without a new token before a generation is given up. What was delivered is worth more.
-constexpr std::uint32_t maxFruitlessRetries = 3;
-constexpr std::uint32_t maxFruitlessResumes = 5;
+constexpr std::uint32_t maxRetriesWithoutProgress = 3;
+constexpr std::uint32_t maxResumesWithoutProgress = 5;
 // Bounds the engine work of one request, however often its engines fail.
-constexpr std::uint32_t maxAttemptsInAll = 32;
+constexpr std::uint32_t maxTotalAttempts = 32;
 // Pauses before the resumes that follow the first two: by then it is the fleet that has a problem.
-constexpr absl::Duration firstBackoff = absl::Milliseconds(250);
+constexpr absl::Duration initialBackoff = absl::Milliseconds(250);
 // A silence without an alternative is looked at again after this time.
-constexpr absl::Duration lookAgainDelay = absl::Milliseconds(250);
+constexpr absl::Duration stallRecheckDelay = absl::Milliseconds(250);
 
 absl::Duration resumeBackoff(std::uint32_t attemptsSinceProgress)
 {
     constexpr std::uint32_t immediateAttempts = 2;
     if (attemptsSinceProgress <= immediateAttempts)
         return absl::ZeroDuration();
-    return firstBackoff * (1 << (attemptsSinceProgress - immediateAttempts - 1));
+    return initialBackoff * (1 << (attemptsSinceProgress - immediateAttempts - 1));
 }
 
 } // namespace detail
 
 Recovery::Recovery(RoutingState &state, AttemptLauncher &launcher, GenerationCloser &closer)
-    : m_state(state), m_launcher(launcher), m_closer(closer), m_watch(state)
+    : m_state(state), m_launcher(launcher), m_closer(closer), m_stallDetector(state)
 {
 }
 
@@ -43,46 +43,46 @@
         m_closer.refuse(*generation, ErrorCode::InvalidRequest, "the engine rejected the request");
         return;
     }
-    handleEnded(*generation, event.attempt, event.failure);
+    handleAttemptEnded(*generation, event.attempt, event.failure);
 }
 
-void Recovery::handleEnded(Generation &generation, AttemptId id, AttemptFailure failure)
+void Recovery::handleAttemptEnded(Generation &generation, AttemptId id, AttemptFailure failure)
 {
     const TargetId target = generation.find(id)->target;
     m_launcher.release(generation, id);
     noteFailure(generation, target, failure);
     if (generation.attempts.empty())
-        goOn(generation);
+        resumeOrRetry(generation);
 }
 
-void Recovery::handleBroken(Generation &generation, AttemptId id)
+void Recovery::handleStreamBroken(Generation &generation, AttemptId id)
 {
     const TargetId target = generation.find(id)->target;
     m_launcher.cancel(generation, id);
     noteFailure(generation, target, AttemptFailure::StreamLost);
     if (generation.attempts.empty())
-        goOn(generation);
+        resumeOrRetry(generation);
 }
 
-void Recovery::handleGone(const TargetId &target)
+void Recovery::handleTargetGone(const TargetId &target)
 {
     for (Generation *it : m_state.generations.all()) {
         auto found = std::ranges::find(it->attempts, target, &Attempt::target);
         if (found != it->attempts.end())
-            handleBroken(*it, found->id);
+            handleStreamBroken(*it, found->id);
     }
 }
 
-void Recovery::handleConfiguration(Generation &generation)
+void Recovery::handleConfigurationChange(Generation &generation)
 {
     if (m_closer.refuseIfExpired(generation))
         return;
-    m_state.touch(generation);
+    m_state.markForReschedule(generation);
     if (generation.attempts.empty())
-        (void)followModel(generation);
+        (void)switchToCurrentModel(generation);
 }
 
-bool Recovery::followModel(Generation &generation)
+bool Recovery::switchToCurrentModel(Generation &generation)
 {
     if (m_state.hasSameModel(generation))
         return true;
@@ -105,13 +105,13 @@
 {
     if (m_closer.refuseIfExpired(generation))
         return;
-    m_state.touch(generation);
-    if (generation.waiting)
+    m_state.markForReschedule(generation);
+    if (generation.queuePriority)
         return;
     if (generation.attempts.empty())
-        startNext(generation);
+        startNextAttempt(generation);
     else
-        handleSilence(generation);
+        handleStall(generation);
 }
 
 void Recovery::noteFailure(Generation &generation, const TargetId &id, AttemptFailure failure)
@@ -129,88 +129,89 @@
         target->noteFailure(m_state.now);
 }
 
-void Recovery::handleSilence(Generation &generation)
+void Recovery::handleStall(Generation &generation)
 {
-    auto isStalled = [&](const Attempt &it) { return m_watch.isStalled(generation, it); };
+    auto isStalled = [&](const Attempt &it) { return m_stallDetector.isStalled(generation, it); };
     if (!std::ranges::all_of(generation.attempts, isStalled))
         return;
-    const Attempt silent = *std::ranges::min_element(generation.attempts, {}, &Attempt::lastProgress);
+    const Attempt stalled = *std::ranges::min_element(generation.attempts, {}, &Attempt::lastProgress);
     const bool replace =
         m_state.resumePolicy(generation.request.service).stallResponse() == StallResponse::Replace;
-    if (replace || m_watch.isHopeless(generation, silent)) {
+    if (replace || m_stallDetector.shouldAbandon(generation, stalled)) {
         const bool hasOther = generation.attempts.size() > 1;
-        handleBroken(generation, silent.id);
+        handleStreamBroken(generation, stalled.id);
         // Without another attempt the generation may be closed by now.
         if (hasOther)
-            handleSilence(generation);
+            handleStall(generation);
         return;
     }
-    race(generation, silent);
+    hedge(generation, stalled);
 }
 
-void Recovery::race(Generation &generation, const Attempt &silent)
+void Recovery::hedge(Generation &generation, const Attempt &stalled)
 {
-    if (generation.isWhole()) {
+    if (generation.hasAllTokens()) {
         m_closer.complete(generation, FinishReason::Length);
         return;
     }
     const ResumeSpec &spec = m_state.resumeSpec(generation.request.service);
-    const auto how = m_state.resumePolicy(generation.request.service).resumeTarget(spec.thrift);
-    const bool isExhausted = generation.attemptsSinceProgress >= detail::maxFruitlessResumes
-        || generation.attemptsMade >= detail::maxAttemptsInAll;
+    const auto strategy = m_state.resumePolicy(generation.request.service).targetStrategy(spec.thrift);
+    const bool isExhausted = generation.attemptsSinceProgress >= detail::maxResumesWithoutProgress
+        || generation.attemptsStarted >= detail::maxTotalAttempts;
     if (isExhausted || !m_state.hasSameModel(generation)) {
-        lookAgain(generation);
+        postponeStallCheck(generation);
         return;
     }
-    const TargetChoice choice = m_launcher.choose(generation, how);
-    const bool isLikelyLost = generation.hasDelivered() && m_watch.isWholeTargetSilent(generation, silent);
-    const auto kind = isLikelyLost ? RetryBudget::Kind::Resume : RetryBudget::Kind::Race;
-    if (choice.outcome != TargetChoice::Outcome::Chosen || !takeFromBudget(kind)) {
-        lookAgain(generation);
+    const TargetChoice choice = m_launcher.choose(generation, strategy);
+    const bool isLikelyLost =
+        generation.hasDelivered() && m_stallDetector.isTargetStalled(generation, stalled);
+    const auto kind = isLikelyLost ? RetryBudget::Kind::Resume : RetryBudget::Kind::Hedge;
+    if (choice.outcome != TargetChoice::Outcome::Chosen || !tryConsumeBudget(kind)) {
+        postponeStallCheck(generation);
         return;
     }
-    noteFailure(generation, silent.target, AttemptFailure::StreamLost);
+    noteFailure(generation, stalled.target, AttemptFailure::StreamLost);
     if (generation.attempts.size() == Generation::maxAttempts)
-        m_launcher.cancel(generation, silent.id);
+        m_launcher.cancel(generation, stalled.id);
     generation.adopted.reset();
-    m_launcher.start(generation, choice, DecisionKind::Race);
+    m_launcher.start(generation, choice, DecisionKind::Hedge);
 }
 
-void Recovery::lookAgain(Generation &generation)
+void Recovery::postponeStallCheck(Generation &generation)
 {
-    generation.quietUntil = m_state.now + detail::lookAgainDelay;
+    generation.nextStallCheck = m_state.now + detail::stallRecheckDelay;
 }
 
-void Recovery::goOn(Generation &generation)
+void Recovery::resumeOrRetry(Generation &generation)
 {
-    if (generation.isWhole()) {
+    if (generation.hasAllTokens()) {
         m_closer.complete(generation, FinishReason::Length);
         return;
     }
-    m_state.touch(generation);
-    if (!mayGoOn(generation))
+    m_state.markForReschedule(generation);
+    if (!authorizeRetry(generation))
         return;
     const absl::Duration backoff = detail::resumeBackoff(generation.attemptsSinceProgress);
     if (backoff > absl::ZeroDuration())
         generation.resumeAt = m_state.now + backoff;
     else
-        startNext(generation);
+        startNextAttempt(generation);
 }
 
-void Recovery::startNext(Generation &generation)
+void Recovery::startNextAttempt(Generation &generation)
 {
     generation.resumeAt.reset();
     const ResumeSpec &spec = m_state.resumeSpec(generation.request.service);
-    const auto how = m_state.resumePolicy(generation.request.service).resumeTarget(spec.thrift);
-    const TargetChoice choice = m_launcher.choose(generation, how);
+    const auto strategy = m_state.resumePolicy(generation.request.service).targetStrategy(spec.thrift);
+    const TargetChoice choice = m_launcher.choose(generation, strategy);
     switch (choice.outcome) {
     case TargetChoice::Outcome::Chosen:
         m_launcher.start(generation, choice, DecisionKind::Resume);
         break;
-    case TargetChoice::Outcome::NoRoom:
+    case TargetChoice::Outcome::NoCapacity:
         m_state.record(DecisionKind::Queue, generation.id(), TargetId(), "resume: every target is full");
-        generation.waiting = WaitingRank::Resume;
-        m_state.queue.push(generation.request.service, WaitingRank::Resume, generation.request.workspace, 1,
+        generation.queuePriority = QueuePriority::Resume;
+        m_state.queue.push(generation.request.service, QueuePriority::Resume, generation.request.workspace, 1,
                            generation.id());
         break;
     case TargetChoice::Outcome::NoTarget:
@@ -219,28 +220,29 @@
     }
 }
 
-bool Recovery::mayGoOn(Generation &generation)
+bool Recovery::authorizeRetry(Generation &generation)
 {
-    if (m_closer.refuseIfExpired(generation) || !followModel(generation))
+    if (m_closer.refuseIfExpired(generation) || !switchToCurrentModel(generation))
         return false;
-    const auto limit = generation.hasDelivered() ? detail::maxFruitlessResumes : detail::maxFruitlessRetries;
-    if (generation.attemptsSinceProgress >= limit || generation.attemptsMade >= detail::maxAttemptsInAll) {
+    const auto limit =
+        generation.hasDelivered() ? detail::maxResumesWithoutProgress : detail::maxRetriesWithoutProgress;
+    if (generation.attemptsSinceProgress >= limit || generation.attemptsStarted >= detail::maxTotalAttempts) {
         m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "too many attempts failed");
         return false;
     }
     const auto kind = generation.hasDelivered() ? RetryBudget::Kind::Resume : RetryBudget::Kind::Retry;
-    if (!takeFromBudget(kind)) {
+    if (!tryConsumeBudget(kind)) {
         m_closer.refuse(generation, ErrorCode::RetryBudgetExhausted, "too many retries at this router");
         return false;
     }
     return true;
 }
 
-bool Recovery::takeFromBudget(RetryBudget::Kind kind)
+bool Recovery::tryConsumeBudget(RetryBudget::Kind kind)
 {
     const double ratio = m_state.configuration.preset().retryBudget;
     const auto running = static_cast<std::uint32_t>(m_state.generations.size());
-    return m_state.budget.tryTake(kind, ratio, running, m_state.now);
+    return m_state.budget.tryConsume(kind, ratio, running, m_state.now);
 }
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/Recovery.h
+++ b/Libraries/LibRouting/Recovery.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <LibRouting/GenerationCloser.h>
-#include <LibRouting/SilenceWatch.h>
+#include <LibRouting/StallDetector.h>
 
 namespace Wisteria {
 
@@ -15,39 +15,42 @@
     // The engine, or the connection to it, ended the attempt.
     void handle(const AttemptFailed &);
     // The attempt is over at the engine without the answer's end.
-    void handleEnded(Generation &, AttemptId, AttemptFailure);
+    void handleAttemptEnded(Generation &, AttemptId, AttemptFailure);
     // The attempt is of no use any more, though the engine may still run it.
-    void handleBroken(Generation &, AttemptId);
+    void handleStreamBroken(Generation &, AttemptId);
     // All attempts at the target are lost.
-    void handleGone(const TargetId &);
+    void handleTargetGone(const TargetId &);
     // The configuration has changed.
-    void handleConfiguration(Generation &);
+    void handleConfigurationChange(Generation &);
     // The generation's wake-up is due.
     void handleWakeUp(Generation &);
 
     // Makes the next attempt of a generation that has none; it may have to wait or be refused instead.
-    void goOn(Generation &);
+    void resumeOrRetry(Generation &);
 
-    [[nodiscard]] absl::Time dueAt(const Generation &generation) const { return m_watch.dueAt(generation); }
+    [[nodiscard]] absl::Time nextCheckAt(const Generation &generation) const
+    {
+        return m_stallDetector.nextCheckAt(generation);
+    }
 
 private:
     void noteFailure(Generation &, const TargetId &, AttemptFailure);
-    void handleSilence(Generation &);
-    void race(Generation &, const Attempt &silent);
+    void handleStall(Generation &);
+    void hedge(Generation &, const Attempt &stalled);
     // Looks at the generation again a little later.
-    void lookAgain(Generation &);
-    void startNext(Generation &);
+    void postponeStallCheck(Generation &);
+    void startNextAttempt(Generation &);
     // Moves a generation without tokens to the service's present model; one with tokens cannot follow and is
     // lost. False when the generation was refused instead.
-    [[nodiscard]] bool followModel(Generation &);
+    [[nodiscard]] bool switchToCurrentModel(Generation &);
     // False when the generation was refused instead.
-    [[nodiscard]] bool mayGoOn(Generation &);
-    [[nodiscard]] bool takeFromBudget(RetryBudget::Kind);
+    [[nodiscard]] bool authorizeRetry(Generation &);
+    [[nodiscard]] bool tryConsumeBudget(RetryBudget::Kind);
 
     RoutingState &m_state;
     AttemptLauncher &m_launcher;
     GenerationCloser &m_closer;
-    SilenceWatch m_watch;
+    StallDetector m_stallDetector;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/RestartPolicy.h
+++ b/Libraries/LibRouting/RestartPolicy.h
@@ -10,10 +10,13 @@
 class RestartPolicy final : public ResumePolicy
 {
 public:
-    [[nodiscard]] absl::Duration stallLimit(const SilenceView &) const override { return absl::Seconds(5); }
+    [[nodiscard]] absl::Duration stallLimit(const StallContext &) const override { return absl::Seconds(5); }
     [[nodiscard]] StallResponse stallResponse() const override { return StallResponse::Replace; }
-    [[nodiscard]] ResumeTarget resumeTarget(double) const override { return ResumeTarget::RoundRobin; }
-    [[nodiscard]] ReattachUse reattachUse() const override { return ReattachUse::StartAnew; }
+    [[nodiscard]] ResumeTargetStrategy targetStrategy(double) const override
+    {
+        return ResumeTargetStrategy::RoundRobin;
+    }
+    [[nodiscard]] ReattachMode reattachMode() const override { return ReattachMode::Restart; }
 
     static const ResumePolicyRegistration<RestartPolicy> registration;
 };
--- a/Libraries/LibRouting/ResumePolicy.h
+++ b/Libraries/LibRouting/ResumePolicy.h
@@ -4,20 +4,20 @@
 #pragma once
 
 #include <LibRouting/Events.h>
-#include <LibRouting/GapEstimator.h>
 #include <LibRouting/PluginRegistry.h>
+#include <LibRouting/TokenLatencyEstimator.h>
 
 namespace Wisteria {
 
 // What an attempt is waiting for.
-enum class SilenceKind { FirstToken, NextToken, Reattach };
+enum class WaitKind { FirstToken, NextToken, Reattach };
 
 // One silent attempt, as a policy sees it.
-struct SilenceView
+struct StallContext
 {
-    SilenceKind kind{SilenceKind::NextToken};
+    WaitKind kind{WaitKind::NextToken};
     // Longest silence that is normal for this engine and this kind of wait.
-    absl::Duration normal;
+    absl::Duration expectedMaxWait;
     TargetPhase phase{TargetPhase::Live};
     // ResumeSpec::thrift.
     double thrift{0.5};
@@ -25,15 +25,15 @@
 
 enum class StallResponse {
     // A second attempt runs beside the silent one, and the first of them to bring the next token wins.
-    Race,
+    Hedge,
     // The silent attempt is cancelled before another one starts.
     Replace,
 };
 
 // How the target of a further attempt is chosen.
-enum class ResumeTarget { BySelector, MostCached, RoundRobin, Spread };
+enum class ResumeTargetStrategy { BySelector, MostCached, RoundRobin, Spread };
 
-enum class ReattachUse { Reattach, StartAnew };
+enum class ReattachMode { Reattach, Restart };
 
 class ResumePolicy
 {
@@ -41,11 +41,11 @@
     virtual ~ResumePolicy() = default;
 
     // The silence after which the attempt is taken for stalled.
-    [[nodiscard]] virtual absl::Duration stallLimit(const SilenceView &) const = 0;
+    [[nodiscard]] virtual absl::Duration stallLimit(const StallContext &) const = 0;
     [[nodiscard]] virtual StallResponse stallResponse() const = 0;
-    [[nodiscard]] virtual ResumeTarget resumeTarget(double thrift) const = 0;
+    [[nodiscard]] virtual ResumeTargetStrategy targetStrategy(double thrift) const = 0;
     // What a caller's return from another router leads to while its stream may still run.
-    [[nodiscard]] virtual ReattachUse reattachUse() const = 0;
+    [[nodiscard]] virtual ReattachMode reattachMode() const = 0;
 };
 
 using ResumePolicyRegistry = PluginRegistry<ResumePolicy>;
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -6,18 +6,18 @@
 
 void RetryBudget::noteFirstAttempt(absl::Time now)
 {
-    ++bucketAt(now).first;
+    ++bucketAt(now).firstAttempts;
 }
 
-bool RetryBudget::tryTake(Kind kind, double ratio, std::uint32_t runningGenerations, absl::Time now)
+bool RetryBudget::tryConsume(Kind kind, double ratio, std::uint32_t runningGenerations, absl::Time now)
 {
-    const Bucket sum = sums(now);
-    double limit = floorPerWindow + ratio * sum.first;
+    const Bucket sum = windowTotals(now);
+    double limit = minExtraAttemptsPerWindow + ratio * sum.firstAttempts;
     if (kind == Kind::Resume)
         limit += runningGenerations;
-    if (sum.further + 1 > limit)
+    if (sum.extraAttempts + 1 > limit)
         return false;
-    ++bucketAt(now).further;
+    ++bucketAt(now).extraAttempts;
     return true;
 }
 
@@ -30,15 +30,15 @@
     return bucket;
 }
 
-RetryBudget::Bucket RetryBudget::sums(absl::Time now) const
+RetryBudget::Bucket RetryBudget::windowTotals(absl::Time now) const
 {
     const std::int64_t oldest = absl::ToUnixSeconds(now) - windowSeconds + 1;
     Bucket sum;
     for (const auto &it : m_buckets) {
         if (it.second < oldest)
             continue;
-        sum.first += it.first;
-        sum.further += it.further;
+        sum.firstAttempts += it.firstAttempts;
+        sum.extraAttempts += it.extraAttempts;
     }
     return sum;
 }
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -22,26 +22,26 @@
 class RetryBudget
 {
 public:
-    enum class Kind { Retry, Race, Resume };
+    enum class Kind { Retry, Hedge, Resume };
 
     static constexpr std::uint32_t windowSeconds = 30;
     // Further attempts a window that need no first attempt, so that a quiet router can retry at all.
-    static constexpr double floorPerWindow = 5;
+    static constexpr double minExtraAttemptsPerWindow = 5;
 
     void noteFirstAttempt(absl::Time now);
     // Takes one further attempt out of the budget; false when it does not allow one.
-    [[nodiscard]] bool tryTake(Kind, double ratio, std::uint32_t runningGenerations, absl::Time now);
+    [[nodiscard]] bool tryConsume(Kind, double ratio, std::uint32_t runningGenerations, absl::Time now);
 
 private:
     struct Bucket
     {
         std::int64_t second{0};
-        std::uint32_t first{0};
-        std::uint32_t further{0};
+        std::uint32_t firstAttempts{0};
+        std::uint32_t extraAttempts{0};
     };
 
     [[nodiscard]] Bucket &bucketAt(absl::Time now);
-    [[nodiscard]] Bucket sums(absl::Time now) const;
+    [[nodiscard]] Bucket windowTotals(absl::Time now) const;
 
     // Invariant: the bucket of second s is at s % windowSeconds, and stale once its `second` is older.
     std::array<Bucket, windowSeconds> m_buckets{};
--- a/Libraries/LibRouting/RoundRobinSelector.cpp
+++ b/Libraries/LibRouting/RoundRobinSelector.cpp
@@ -8,7 +8,7 @@
 
 const TargetSelectorRegistration<RoundRobinSelector> RoundRobinSelector::registration{"round-robin"};
 
-std::size_t RoundRobinSelector::select(std::span<const TargetCandidate> candidates, PromptHead)
+std::size_t RoundRobinSelector::select(std::span<const TargetCandidate> candidates, PromptPrefixHash)
 {
     auto next = std::ranges::upper_bound(candidates, m_last, {}, &TargetCandidate::id);
     if (next == candidates.end())
--- a/Libraries/LibRouting/RoutingCore.cpp
+++ b/Libraries/LibRouting/RoutingCore.cpp
@@ -9,9 +9,9 @@
 namespace detail {
 
 // A wake-up that comes later than this shows that this process did not run, so that no silence counts.
-constexpr absl::Duration ownPauseMargin = absl::Milliseconds(250);
+constexpr absl::Duration processPauseThreshold = absl::Milliseconds(250);
 // Estimates of load fade with time, so work that waits is looked at even without an event.
-constexpr absl::Duration queueInterval = absl::Milliseconds(500);
+constexpr absl::Duration queueCheckInterval = absl::Milliseconds(500);
 
 } // namespace detail
 
@@ -30,14 +30,14 @@
 RoutingActions RoutingCore::handle(const RoutingEvent &event, absl::Time now)
 {
     m_state.now = now;
-    notePauseOfThisProcess();
-    std::visit([this](const auto &it) { take(it); }, event);
-    if (m_state.roomMayHaveChanged && !m_state.queue.isEmpty())
-        m_admission.serveQueue();
-    m_state.roomMayHaveChanged = false;
-    scheduleTouched();
+    detectProcessPause();
+    std::visit([this](const auto &it) { process(it); }, event);
+    if (m_state.capacityMayHaveChanged && !m_state.queue.isEmpty())
+        m_admission.dispatchQueued();
+    m_state.capacityMayHaveChanged = false;
+    reschedulePending();
     m_nextWakeUp = earliestWakeUp();
-    return std::exchange(m_state.out, {});
+    return std::exchange(m_state.actions, {});
 }
 
 std::map<WorkspaceName, std::uint32_t> RoutingCore::demand() const
@@ -50,62 +50,62 @@
     return m_state.drainingSince && m_state.generations.size() == 0;
 }
 
-void RoutingCore::take(const CallerLeft &event)
+void RoutingCore::process(const CallerLeft &event)
 {
     if (Generation *generation = m_state.generations.find(event.generation))
-        m_closer.forget(*generation);
+        m_closer.discard(*generation);
 }
 
-void RoutingCore::take(const TargetChanged &event)
+void RoutingCore::process(const TargetChanged &event)
 {
     m_state.targets.apply(event);
-    m_state.roomMayHaveChanged = true;
+    m_state.capacityMayHaveChanged = true;
     if (event.phase == TargetPhase::Gone) {
-        m_recovery.handleGone(event.target);
-        m_state.targets.forgetIfGone(event.target);
+        m_recovery.handleTargetGone(event.target);
+        m_state.targets.removeIfGone(event.target);
         return;
     }
     // A new phase may bring the stall limits of its streams forward.
     for (const Generation *it : m_state.generations.all()) {
         if (std::ranges::count(it->attempts, event.target, &Attempt::target) > 0)
-            m_state.touch(*it);
+            m_state.markForReschedule(*it);
     }
 }
 
-void RoutingCore::take(const LoadReported &event)
+void RoutingCore::process(const LoadReported &event)
 {
     TargetState *target = m_state.targets.find(event.target);
     if (!target)
         return;
     target->apply(event, m_state.now);
-    m_state.roomMayHaveChanged = true;
+    m_state.capacityMayHaveChanged = true;
 }
 
-void RoutingCore::take(const CacheReported &event)
+void RoutingCore::process(const CacheReported &event)
 {
     if (TargetState *target = m_state.targets.find(event.target))
         target->apply(event);
 }
 
-void RoutingCore::take(const ConfigurationChanged &event)
+void RoutingCore::process(const ConfigurationChanged &event)
 {
     m_state.apply(event.configuration);
-    m_state.roomMayHaveChanged = true;
+    m_state.capacityMayHaveChanged = true;
     for (Generation *it : m_state.generations.all())
-        m_recovery.handleConfiguration(*it);
+        m_recovery.handleConfigurationChange(*it);
 }
 
-void RoutingCore::take(const FreshnessChanged &event)
+void RoutingCore::process(const FreshnessChanged &event)
 {
     m_state.freshness = event.fresh ? Freshness::Fresh : Freshness::MayBeStale;
 }
 
-void RoutingCore::take(const WorkspaceDemandReported &event)
+void RoutingCore::process(const WorkspaceDemandReported &event)
 {
-    m_state.shares.setDemandElsewhere(event.workspace, event.elsewhere, event.liveRouters);
+    m_state.shares.setRemoteDemand(event.workspace, event.remoteGenerations, event.liveRouters);
 }
 
-void RoutingCore::take(const DrainStarted &)
+void RoutingCore::process(const DrainStarted &)
 {
     if (m_state.drainingSince)
         return;
@@ -117,19 +117,19 @@
     }
 }
 
-void RoutingCore::take(const Tick &)
+void RoutingCore::process(const Tick &)
 {
-    if (m_state.now >= drainEnd())
+    if (m_state.now >= drainDeadline())
         handOverAll();
-    while (Generation *generation = m_state.generations.takeDue(m_state.now))
+    while (Generation *generation = m_state.generations.popDue(m_state.now))
         m_recovery.handleWakeUp(*generation);
-    m_state.roomMayHaveChanged = true;
+    m_state.capacityMayHaveChanged = true;
 }
 
-void RoutingCore::notePauseOfThisProcess()
+void RoutingCore::detectProcessPause()
 {
-    if (m_nextWakeUp != absl::InfiniteFuture() && m_state.now > m_nextWakeUp + detail::ownPauseMargin)
-        m_state.listeningSince = m_state.now;
+    if (m_nextWakeUp != absl::InfiniteFuture() && m_state.now > m_nextWakeUp + detail::processPauseThreshold)
+        m_state.processResumedAt = m_state.now;
 }
 
 void RoutingCore::handOverAll()
@@ -138,16 +138,16 @@
         m_closer.handOver(*it);
 }
 
-void RoutingCore::scheduleTouched()
+void RoutingCore::reschedulePending()
 {
-    for (const auto &id : m_state.touched) {
+    for (const auto &id : m_state.pendingReschedule) {
         if (Generation *generation = m_state.generations.find(id))
-            m_state.generations.wakeUp(*generation, m_recovery.dueAt(*generation));
+            m_state.generations.scheduleWakeUp(*generation, m_recovery.nextCheckAt(*generation));
     }
-    m_state.touched.clear();
+    m_state.pendingReschedule.clear();
 }
 
-absl::Time RoutingCore::drainEnd() const
+absl::Time RoutingCore::drainDeadline() const
 {
     if (!m_state.drainingSince)
         return absl::InfiniteFuture();
@@ -158,9 +158,9 @@
 {
     absl::Time at = m_state.generations.nextWakeUp();
     if (m_state.generations.size() > 0)
-        at = std::min(at, drainEnd());
+        at = std::min(at, drainDeadline());
     if (!m_state.queue.isEmpty())
-        at = std::min(at, m_state.now + detail::queueInterval);
+        at = std::min(at, m_state.now + detail::queueCheckInterval);
     return at;
 }
 
--- a/Libraries/LibRouting/RoutingCore.h
+++ b/Libraries/LibRouting/RoutingCore.h
@@ -19,25 +19,25 @@
     [[nodiscard]] bool isIdle() const override;
 
 private:
-    void take(const RequestOpened &event) { m_admission.handle(event); }
-    void take(const CallerLeft &);
-    void take(const AttemptStarted &event) { m_sequencer.handle(event); }
-    void take(const TokenArrived &event) { m_sequencer.handle(event); }
-    void take(const AttemptFinished &event) { m_sequencer.handle(event); }
-    void take(const AttemptFailed &event) { m_recovery.handle(event); }
-    void take(const TargetChanged &);
-    void take(const LoadReported &);
-    void take(const CacheReported &);
-    void take(const ConfigurationChanged &);
-    void take(const FreshnessChanged &);
-    void take(const WorkspaceDemandReported &);
-    void take(const DrainStarted &);
-    void take(const Tick &);
-
-    void notePauseOfThisProcess();
+    void process(const RequestOpened &event) { m_admission.handle(event); }
+    void process(const CallerLeft &);
+    void process(const AttemptStarted &event) { m_sequencer.handle(event); }
+    void process(const TokenArrived &event) { m_sequencer.handle(event); }
+    void process(const AttemptFinished &event) { m_sequencer.handle(event); }
+    void process(const AttemptFailed &event) { m_recovery.handle(event); }
+    void process(const TargetChanged &);
+    void process(const LoadReported &);
+    void process(const CacheReported &);
+    void process(const ConfigurationChanged &);
+    void process(const FreshnessChanged &);
+    void process(const WorkspaceDemandReported &);
+    void process(const DrainStarted &);
+    void process(const Tick &);
+
+    void detectProcessPause();
     void handOverAll();
-    void scheduleTouched();
-    [[nodiscard]] absl::Time drainEnd() const;
+    void reschedulePending();
+    [[nodiscard]] absl::Time drainDeadline() const;
     [[nodiscard]] absl::Time earliestWakeUp() const;
 
     RoutingState m_state;
--- a/Libraries/LibRouting/RoutingState.cpp
+++ b/Libraries/LibRouting/RoutingState.cpp
@@ -28,7 +28,7 @@
 
 RoutingState::RoutingState(RandomSource &source) : random(source)
 {
-    detail::keepBuiltInPlugins();
+    detail::linkBuiltInPlugins();
     selector =
         detail::createPlugin<TargetSelector>(configuration.preset().selection, detail::defaultSelection);
     const std::string &policy = configuration.preset().resume.policy;
@@ -84,7 +84,7 @@
     return !openedUnder || *openedUnder == spec->stamp.changedIn;
 }
 
-absl::Duration RoutingState::retryAfter(absl::Duration base)
+absl::Duration RoutingState::jitteredRetryDelay(absl::Duration base)
 {
     constexpr std::uint64_t steps = 1000;
     return base * (1 + static_cast<double>(random.below(steps)) / (2 * steps));
@@ -93,7 +93,7 @@
 void RoutingState::record(DecisionKind kind, const GenerationId &generation, TargetId chosen,
                           std::string reason, std::vector<TargetId> alternatives)
 {
-    out.push_back(
+    actions.push_back(
         RecordDecision{kind, generation, std::move(chosen), std::move(alternatives), std::move(reason)});
 }
 
--- a/Libraries/LibRouting/RoutingState.h
+++ b/Libraries/LibRouting/RoutingState.h
@@ -34,7 +34,7 @@
     AdmissionQueue queue;
     WorkspaceShares shares;
     RetryBudget budget;
-    WaitEstimator waits;
+    WaitEstimator waitEstimator;
 
     // Invariant: made from the preset in force.
     std::unique_ptr<TargetSelector> selector;
@@ -44,13 +44,13 @@
 
     // Of the event that is handled.
     absl::Time now;
-    RoutingActions out;
+    RoutingActions actions;
     // Generations whose wake-up must be worked out anew.
-    std::set<GenerationId> touched;
+    std::set<GenerationId> pendingReschedule;
     // Whether the event may have made room for work that waits.
-    bool roomMayHaveChanged{false};
+    bool capacityMayHaveChanged{false};
     // Silence counts from here at most: before, this process itself was not listening.
-    absl::Time listeningSince{absl::InfinitePast()};
+    absl::Time processResumedAt{absl::InfinitePast()};
 
     // Takes a configuration that is newer than the present one; older ones change nothing.
     void apply(const FleetConfiguration &);
@@ -62,9 +62,9 @@
     // Whether the service still runs the model that the generation was opened with.
     [[nodiscard]] bool hasSameModel(const Generation &) const;
 
-    void touch(const Generation &generation) { touched.insert(generation.id()); }
+    void markForReschedule(const Generation &generation) { pendingReschedule.insert(generation.id()); }
     // Spreads the callers that come back: between one and one and a half times the base.
-    [[nodiscard]] absl::Duration retryAfter(absl::Duration base);
+    [[nodiscard]] absl::Duration jitteredRetryDelay(absl::Duration base);
     void record(DecisionKind, const GenerationId &, TargetId chosen, std::string reason,
                 std::vector<TargetId> alternatives = {});
 };
--- a/Libraries/LibRouting/Sequencer.cpp
+++ b/Libraries/LibRouting/Sequencer.cpp
@@ -23,19 +23,19 @@
     if (!generation || event.offset < generation->next)
         return;
     if (event.offset > generation->next) {
-        m_recovery.handleBroken(*generation, event.attempt);
+        m_recovery.handleStreamBroken(*generation, event.attempt);
         return;
     }
     if (generation->adopted != event.attempt)
         adopt(*generation, *generation->find(event.attempt));
     Attempt &attempt = *generation->find(event.attempt);
     noteProgress(*generation, attempt);
-    m_state.out.push_back(DeliverToken{generation->id(), attempt.id, event.offset, event.text, attempt.target,
-                                       attempt.stream, attempt.streamStart});
+    m_state.actions.push_back(DeliverToken{generation->id(), attempt.id, event.offset, event.text,
+                                           attempt.target, attempt.stream, attempt.streamStart});
     generation->next = nextOffset(event.offset);
     generation->attemptsSinceProgress = 0;
     generation->failedTargets.clear();
-    generation->quietUntil = absl::InfinitePast();
+    generation->nextStallCheck = absl::InfinitePast();
 }
 
 void Sequencer::handle(const AttemptFinished &event)
@@ -44,7 +44,7 @@
     if (!generation)
         return;
     if (event.end != generation->next) {
-        m_recovery.handleEnded(*generation, event.attempt, AttemptFailure::StreamLost);
+        m_recovery.handleAttemptEnded(*generation, event.attempt, AttemptFailure::StreamLost);
         return;
     }
     m_launcher.cancelAllBut(*generation, event.attempt);
@@ -59,18 +59,18 @@
                    generation.attempts.size() > 1 ? "first to bring the next token" : "first token");
     m_launcher.cancelAllBut(generation, winner);
     generation.adopted = winner;
-    m_state.touch(generation);
+    m_state.markForReschedule(generation);
 }
 
 void Sequencer::noteProgress(const Generation &generation, Attempt &attempt)
 {
-    const absl::Duration gap = m_state.now - attempt.lastProgress;
+    const absl::Duration latency = m_state.now - attempt.lastProgress;
     if (TargetState *target = m_state.targets.find(attempt.target)) {
         if (attempt.progress == AttemptProgress::Producing)
-            target->gaps().addTokenGap(gap);
+            target->tokenLatency().addInterTokenLatency(latency);
         else if (attempt.kind == AttemptKind::Start)
-            target->gaps().addFirstTokenGap(gap,
-                                            generation.request.promptTokens + attempt.streamStart.value());
+            target->tokenLatency().addTimeToFirstToken(
+                latency, generation.request.promptTokens + attempt.streamStart.value());
         target->noteProgress(m_state.now);
     }
     attempt.lastProgress = m_state.now;
--- a/Libraries/LibRouting/SpreadChoice.cpp
+++ b/Libraries/LibRouting/SpreadTargetSelection.cpp
@@ -1,6 +1,6 @@
 // Weighted rendezvous hashing by generation.
 
-#include <LibRouting/SpreadChoice.h>
+#include <LibRouting/SpreadTargetSelection.h>
 
 #include <xxhash.h>
 
@@ -12,12 +12,12 @@
 namespace detail {
 
 // How much more an engine counts that is said to hold the prompt's head.
-constexpr double cachedSpreadWeight = 2;
+constexpr double cachedPrefixSpreadWeight = 2;
 // Keeps the order among engines that are all full.
-constexpr double leastFreeSlots = 0.01;
+constexpr double minFreeSlotShare = 0.01;
 
 // A fixed number in (0, 1) for each pair of generation and target.
-double spreadDraw(const GenerationId &generation, const TargetId &target)
+double spreadUniform(const GenerationId &generation, const TargetId &target)
 {
     const std::uint64_t seed = XXH3_64bits(generation.value().data(), generation.value().size());
     const std::uint64_t hash = XXH3_64bits_withSeed(target.value().data(), target.value().size(), seed);
@@ -27,15 +27,15 @@
 
 double spreadScore(const TargetCandidate &candidate, const GenerationId &generation)
 {
-    const double free = std::max(1 - candidate.utilisation(), leastFreeSlots);
-    const double weight = free * free * (candidate.holdsHead ? cachedSpreadWeight : 1);
-    return -weight / std::log(spreadDraw(generation, candidate.id));
+    const double free = std::max(1 - candidate.utilisation(), minFreeSlotShare);
+    const double weight = free * free * (candidate.hasCachedPrefix ? cachedPrefixSpreadWeight : 1);
+    return -weight / std::log(spreadUniform(generation, candidate.id));
 }
 
 } // namespace detail
 
-std::size_t spreadChoice(std::span<const TargetCandidate> candidates, const GenerationId &generation,
-                         const std::optional<FailureDomain> &lostDomain)
+std::size_t selectSpreadTarget(std::span<const TargetCandidate> candidates, const GenerationId &generation,
+                               const std::optional<FailureDomain> &lostDomain)
 {
     auto isOutside = [&](const TargetCandidate &it) { return !lostDomain || it.domain != *lostDomain; };
     auto isBetter = [&](const TargetCandidate &a, const TargetCandidate &b) {
--- a/Libraries/LibRouting/TargetSelector.h
+++ b/Libraries/LibRouting/TargetSelector.h
@@ -19,7 +19,7 @@
     std::uint32_t load{0};
     // Invariant: positive.
     std::uint32_t slots{1};
-    bool holdsHead{false};
+    bool hasCachedPrefix{false};
 
     // Above one where streams wait at the engine.
     [[nodiscard]] double utilisation() const { return static_cast<double>(load) / slots; }
@@ -31,7 +31,7 @@
     virtual ~TargetSelector() = default;
 
     // The index of the chosen candidate. There is at least one, and they come in the order of their ids.
-    [[nodiscard]] virtual std::size_t select(std::span<const TargetCandidate>, PromptHead) = 0;
+    [[nodiscard]] virtual std::size_t select(std::span<const TargetCandidate>, PromptPrefixHash) = 0;
     // Why, for the decision's log line.
     [[nodiscard]] virtual std::string_view reason() const = 0;
 };
--- a/Libraries/LibRouting/TargetState.cpp
+++ b/Libraries/LibRouting/TargetState.cpp
@@ -10,13 +10,13 @@
 
 namespace detail {
 
-constexpr absl::Duration firstCooldown = absl::Seconds(2);
-constexpr absl::Duration longestCooldown = absl::Seconds(30);
+constexpr absl::Duration initialCooldown = absl::Seconds(2);
+constexpr absl::Duration maxCooldown = absl::Seconds(30);
 constexpr absl::Duration overloadCooldown = absl::Milliseconds(500);
 // After this time a report says nothing any more, and only the own streams count.
 constexpr absl::Duration reportLifetime = absl::Seconds(15);
 // Without reports the list of own changes is cut at this length.
-constexpr std::size_t maxOwnChanges = 256;
+constexpr std::size_t maxLocalChanges = 256;
 
 } // namespace detail
 
@@ -26,35 +26,35 @@
     // Reports may cross.
     if (measuredAt < m_reportedAt)
         return;
-    m_reported = report.running + report.waiting;
+    m_reportedLoad = report.running + report.waiting;
     m_reportedAt = measuredAt;
-    while (!m_ownSinceReport.empty() && m_ownSinceReport.front().at <= measuredAt)
-        m_ownSinceReport.pop_front();
+    while (!m_localChangesSinceReport.empty() && m_localChangesSinceReport.front().at <= measuredAt)
+        m_localChangesSinceReport.pop_front();
 }
 
 void TargetState::apply(const CacheReported &report)
 {
-    for (const auto &head : report.stored)
-        m_cache.noteStored(head);
-    for (const auto &head : report.evicted)
-        m_cache.noteEvicted(head);
+    for (const auto &prefixHash : report.stored)
+        m_cache.noteStored(prefixHash);
+    for (const auto &prefixHash : report.evicted)
+        m_cache.noteEvicted(prefixHash);
 }
 
-void TargetState::noteAttemptBegun(absl::Time now)
+void TargetState::noteAttemptStarted(absl::Time now)
 {
-    ++m_own;
-    m_ownSinceReport.push_back(OwnChange{now, 1});
-    if (m_ownSinceReport.size() > detail::maxOwnChanges)
-        m_ownSinceReport.pop_front();
+    ++m_localAttempts;
+    m_localChangesSinceReport.push_back(LocalLoadChange{now, 1});
+    if (m_localChangesSinceReport.size() > detail::maxLocalChanges)
+        m_localChangesSinceReport.pop_front();
 }
 
 void TargetState::noteAttemptEnded(absl::Time now)
 {
-    VERIFY(m_own > 0);
-    --m_own;
-    m_ownSinceReport.push_back(OwnChange{now, -1});
-    if (m_ownSinceReport.size() > detail::maxOwnChanges)
-        m_ownSinceReport.pop_front();
+    VERIFY(m_localAttempts > 0);
+    --m_localAttempts;
+    m_localChangesSinceReport.push_back(LocalLoadChange{now, -1});
+    if (m_localChangesSinceReport.size() > detail::maxLocalChanges)
+        m_localChangesSinceReport.pop_front();
 }
 
 void TargetState::noteFailure(absl::Time now)
@@ -62,10 +62,10 @@
     // The streams of a dead engine fail together; that is one failure.
     if (isCoolingDown(now))
         return;
-    constexpr std::uint32_t mostDoublings = 4;
-    const auto doublings = std::min(m_failuresInRow, mostDoublings);
-    ++m_failuresInRow;
-    m_cooldownEnd = now + std::min(detail::firstCooldown * (1 << doublings), detail::longestCooldown);
+    constexpr std::uint32_t maxDoublings = 4;
+    const auto doublings = std::min(m_consecutiveFailures, maxDoublings);
+    ++m_consecutiveFailures;
+    m_cooldownEnd = now + std::min(detail::initialCooldown * (1 << doublings), detail::maxCooldown);
 }
 
 void TargetState::noteOverloaded(absl::Time now)
@@ -76,20 +76,20 @@
 void TargetState::noteProgress(absl::Time now)
 {
     m_lastProgress = now;
-    if (m_failuresInRow == 0)
+    if (m_consecutiveFailures == 0)
         return;
-    m_failuresInRow = 0;
+    m_consecutiveFailures = 0;
     m_cooldownEnd = absl::InfinitePast();
 }
 
 std::uint32_t TargetState::load(absl::Time now) const
 {
     if (now - m_reportedAt > detail::reportLifetime)
-        return m_own;
-    std::int64_t estimate = m_reported;
-    for (const auto &it : m_ownSinceReport)
+        return m_localAttempts;
+    std::int64_t estimate = m_reportedLoad;
+    for (const auto &it : m_localChangesSinceReport)
         estimate += it.delta;
-    return static_cast<std::uint32_t>(std::max<std::int64_t>(estimate, m_own));
+    return static_cast<std::uint32_t>(std::max<std::int64_t>(estimate, m_localAttempts));
 }
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/TargetTable.cpp
+++ b/Libraries/LibRouting/TargetTable.cpp
@@ -11,21 +11,22 @@
 namespace detail {
 
 // The tiers in which targets are used: a later one only when no target of the earlier ones exists.
-enum class TargetTier { Healthy, Suspect, CoolingDown, FailedHere, None };
+enum class TargetTier { Healthy, Suspect, CoolingDown, FailedForRequest, None };
 
 TargetTier targetTier(const TargetState &target, const CandidateQuery &query, absl::Time now)
 {
-    const TargetId &id = target.facts().target;
-    if (!target.takesNewWork() || target.facts().slots == 0 || std::ranges::count(query.running, id) > 0)
+    const TargetId &id = target.properties().target;
+    if (!target.acceptsNewWork() || target.properties().slots == 0
+        || std::ranges::count(query.running, id) > 0)
         return TargetTier::None;
     if (std::ranges::count(query.failed, id) > 0)
-        return TargetTier::FailedHere;
+        return TargetTier::FailedForRequest;
     if (target.isCoolingDown(now))
         return TargetTier::CoolingDown;
-    return target.facts().phase == TargetPhase::Live ? TargetTier::Healthy : TargetTier::Suspect;
+    return target.properties().phase == TargetPhase::Live ? TargetTier::Healthy : TargetTier::Suspect;
 }
 
-std::pair<std::uint64_t, TargetId> rankOf(const TargetId &id)
+std::pair<std::uint64_t, TargetId> hashKey(const TargetId &id)
 {
     return {XXH64(id.value().data(), id.value().size(), 0), id};
 }
@@ -35,9 +36,11 @@
 void preferFreeSlots(std::vector<TargetCandidate> &candidates, const std::set<TargetId> &reserved)
 {
     auto isFull = [](const TargetCandidate &it) { return it.load >= it.slots; };
-    auto isFullOrShared = [&](const TargetCandidate &it) { return isFull(it) || !reserved.contains(it.id); };
-    if (!std::ranges::all_of(candidates, isFullOrShared))
-        std::erase_if(candidates, isFullOrShared);
+    auto isFullOrUnreserved = [&](const TargetCandidate &it) {
+        return isFull(it) || !reserved.contains(it.id);
+    };
+    if (!std::ranges::all_of(candidates, isFullOrUnreserved))
+        std::erase_if(candidates, isFullOrUnreserved);
     else if (!std::ranges::all_of(candidates, isFull))
         std::erase_if(candidates, isFull);
 }
@@ -48,21 +51,21 @@
 {
     auto [it, isNew] = m_targets.try_emplace(change.target, change);
     if (!isNew) {
-        m_byService[it->second.facts().service].erase(change.target);
-        m_byRank[it->second.facts().service].erase(detail::rankOf(change.target));
+        m_byService[it->second.properties().service].erase(change.target);
+        m_byHash[it->second.properties().service].erase(detail::hashKey(change.target));
         it->second.apply(change);
     }
     m_byService[change.service].insert(change.target);
-    m_byRank[change.service].insert(detail::rankOf(change.target));
+    m_byHash[change.service].insert(detail::hashKey(change.target));
 }
 
-void TargetTable::forgetIfGone(const TargetId &id)
+void TargetTable::removeIfGone(const TargetId &id)
 {
     auto it = m_targets.find(id);
-    if (it == m_targets.end() || it->second.facts().phase != TargetPhase::Gone)
+    if (it == m_targets.end() || it->second.properties().phase != TargetPhase::Gone)
         return;
-    m_byService[it->second.facts().service].erase(id);
-    m_byRank[it->second.facts().service].erase(detail::rankOf(id));
+    m_byService[it->second.properties().service].erase(id);
+    m_byHash[it->second.properties().service].erase(detail::hashKey(id));
     m_targets.erase(it);
 }
 
@@ -82,7 +85,7 @@
 {
     Candidates out;
     const auto reserved = reservedTargets(query);
-    const auto ids = openTo(query, reserved);
+    const auto ids = eligibleTargets(query, reserved);
     auto bestTier = detail::TargetTier::None;
     for (const auto &id : ids)
         bestTier = std::min(bestTier, detail::targetTier(m_targets.at(id), query, now));
@@ -94,17 +97,18 @@
         if (detail::targetTier(target, query, now) != bestTier)
             continue;
         const std::uint32_t load = target.load(now);
-        if (load < room(target, query, !reserved.empty()))
-            out.withRoom.push_back(TargetCandidate{id, target.facts().domain, load, target.facts().slots,
-                                                   target.cache().holds(query.head)});
+        if (load < loadLimit(target, query, !reserved.empty()))
+            out.available.push_back(TargetCandidate{id, target.properties().domain, load,
+                                                    target.properties().slots,
+                                                    target.cache().holds(query.prefixHash)});
     }
     if (query.slotClass == SlotClass::Urgent)
-        detail::preferFreeSlots(out.withRoom, reserved);
+        detail::preferFreeSlots(out.available, reserved);
     return out;
 }
 
-std::vector<TargetId> TargetTable::openTo(const CandidateQuery &query,
-                                          const std::set<TargetId> &reserved) const
+std::vector<TargetId> TargetTable::eligibleTargets(const CandidateQuery &query,
+                                                   const std::set<TargetId> &reserved) const
 {
     std::vector<TargetId> ids;
     auto it = m_byService.find(query.service);
@@ -114,9 +118,9 @@
     std::ranges::copy_if(it->second, std::back_inserter(ids),
                          [&](const TargetId &id) { return !isPatient || !reserved.contains(id); });
     // When nothing else is left, the reserve serves everyone.
-    const bool anyTakesWork =
-        std::ranges::any_of(ids, [&](const TargetId &id) { return m_targets.at(id).takesNewWork(); });
-    if (!anyTakesWork)
+    const bool anyAcceptsWork =
+        std::ranges::any_of(ids, [&](const TargetId &id) { return m_targets.at(id).acceptsNewWork(); });
+    if (!anyAcceptsWork)
         ids.assign(it->second.begin(), it->second.end());
     return ids;
 }
@@ -124,32 +128,32 @@
 std::set<TargetId> TargetTable::reservedTargets(const CandidateQuery &query) const
 {
     std::set<TargetId> reserved;
-    auto it = m_byRank.find(query.service);
-    if (it == m_byRank.end())
+    auto it = m_byHash.find(query.service);
+    if (it == m_byHash.end())
         return reserved;
-    const auto wanted = static_cast<std::size_t>(std::floor(it->second.size() * query.urgentReserve));
+    const auto reserveSize = static_cast<std::size_t>(std::floor(it->second.size() * query.urgentReserve));
     for (const auto &[hash, id] : it->second) {
-        if (reserved.size() >= wanted)
+        if (reserved.size() >= reserveSize)
             break;
-        if (m_targets.at(id).takesNewWork())
+        if (m_targets.at(id).acceptsNewWork())
             reserved.insert(id);
     }
     return reserved;
 }
 
-bool TargetTable::anyTakesNewWork(const ServiceName &service) const
+bool TargetTable::anyAcceptsNewWork(const ServiceName &service) const
 {
     auto it = m_byService.find(service);
     if (it == m_byService.end())
         return false;
     return std::ranges::any_of(it->second,
-                               [&](const TargetId &id) { return m_targets.at(id).takesNewWork(); });
+                               [&](const TargetId &id) { return m_targets.at(id).acceptsNewWork(); });
 }
 
-std::uint32_t TargetTable::room(const TargetState &target, const CandidateQuery &query,
-                                bool hasReservedTargets)
+std::uint32_t TargetTable::loadLimit(const TargetState &target, const CandidateQuery &query,
+                                     bool hasReservedTargets)
 {
-    const std::uint32_t slots = target.facts().slots;
+    const std::uint32_t slots = target.properties().slots;
     const auto reserve = static_cast<std::uint32_t>(std::ceil(slots * query.urgentReserve));
     if (query.slotClass != SlotClass::Patient)
         return slots + std::max(reserve, std::uint32_t{1});
--- a/Libraries/LibRouting/TargetTable.h
+++ b/Libraries/LibRouting/TargetTable.h
@@ -24,7 +24,7 @@
 struct CandidateQuery
 {
     ServiceName service;
-    PromptHead head;
+    PromptPrefixHash prefixHash;
     SlotClass slotClass{SlotClass::Patient};
     double urgentReserve{0};
     // Targets that already run the generation. They are never candidates.
@@ -36,7 +36,7 @@
 struct Candidates
 {
     // In the order of their ids.
-    std::vector<TargetCandidate> withRoom;
+    std::vector<TargetCandidate> available;
     // Whether any target could take the attempt once it has room.
     bool anyExists{false};
 };
@@ -46,7 +46,7 @@
 public:
     void apply(const TargetChanged &);
     // Drops a gone target, so that replaced VMs leave nothing behind.
-    void forgetIfGone(const TargetId &);
+    void removeIfGone(const TargetId &);
 
     // Null for targets that are gone or were never reported.
     [[nodiscard]] TargetState *find(const TargetId &);
@@ -54,7 +54,7 @@
 
     [[nodiscard]] Candidates candidates(const CandidateQuery &, absl::Time now) const;
     // Whether any target of the service takes new work.
-    [[nodiscard]] bool anyTakesNewWork(const ServiceName &) const;
+    [[nodiscard]] bool anyAcceptsNewWork(const ServiceName &) const;
 
 private:
     // Whole targets that make up the reserve: the first ones of the service by a hash, alike at every router.
@@ -63,16 +63,16 @@
     // target, and the reserve is then a share of each target's slots.
     [[nodiscard]] std::set<TargetId> reservedTargets(const CandidateQuery &) const;
     // The targets of the service that the attempt may be given to, in the order of their ids.
-    [[nodiscard]] std::vector<TargetId> openTo(const CandidateQuery &,
-                                               const std::set<TargetId> &reserved) const;
-    [[nodiscard]] static std::uint32_t room(const TargetState &, const CandidateQuery &,
-                                            bool hasReservedTargets);
+    [[nodiscard]] std::vector<TargetId> eligibleTargets(const CandidateQuery &,
+                                                        const std::set<TargetId> &reserved) const;
+    [[nodiscard]] static std::uint32_t loadLimit(const TargetState &, const CandidateQuery &,
+                                                 bool hasReservedTargets);
 
     std::map<TargetId, TargetState> m_targets;
     // Invariant: names each target under its present service.
     std::map<ServiceName, std::set<TargetId>> m_byService;
     // Invariant: the same targets as in m_byService, in the order of a hash of their ids.
-    std::map<ServiceName, std::set<std::pair<std::uint64_t, TargetId>>> m_byRank;
+    std::map<ServiceName, std::set<std::pair<std::uint64_t, TargetId>>> m_byHash;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/GapEstimator.cpp
+++ b/Libraries/LibRouting/TokenLatencyEstimator.cpp
@@ -1,6 +1,6 @@
 // Decaying statistics of token gaps, with outliers clipped.
 
-#include <LibRouting/GapEstimator.h>
+#include <LibRouting/TokenLatencyEstimator.h>
 
 #include <algorithm>
 #include <cmath>
@@ -10,24 +10,24 @@
 namespace detail {
 
 // Weight of a sample in the mean once there are enough of them.
-constexpr double steadyGain = 1.0 / 64;
+constexpr double minGain = 1.0 / 64;
 // Share of the peak that each later sample takes away.
 constexpr double peakDecay = 1.0 / 8192;
 constexpr double deviationsInTail = 4;
 // A gap beyond this many tails is a pause, not the engine's rhythm. It is clipped, so that a single pause
 // does not blind the detector; an engine that has truly slowed down still gets there in a few samples.
-constexpr double outlierTails = 4;
+constexpr double outlierThresholdInTails = 4;
 // Tokens of prefill that take about as long as the fixed part of a first token.
-constexpr double prefillUnit = 1024;
+constexpr double prefillTokensPerFixedCost = 1024;
 
-DecayingTail::DecayingTail(absl::Duration prior)
+DecayingTailEstimator::DecayingTailEstimator(absl::Duration prior)
     : m_meanSeconds(absl::ToDoubleSeconds(prior)), m_deviationSeconds(m_meanSeconds / 2)
 {
 }
 
-void DecayingTail::add(absl::Duration sample)
+void DecayingTailEstimator::add(absl::Duration sample)
 {
-    const double clip = outlierTails * absl::ToDoubleSeconds(tail());
+    const double clip = outlierThresholdInTails * absl::ToDoubleSeconds(tail());
     const double seconds = std::clamp(absl::ToDoubleSeconds(sample), 0.0, clip);
     const double error = seconds - m_meanSeconds;
     m_samples = std::min(m_samples + 1, std::uint32_t{1} << 16);
@@ -36,33 +36,33 @@
     m_peakSeconds = std::max(seconds, m_peakSeconds * (1 - peakDecay));
 }
 
-absl::Duration DecayingTail::tail() const
+absl::Duration DecayingTailEstimator::tail() const
 {
     return absl::Seconds(std::max(m_meanSeconds + deviationsInTail * m_deviationSeconds, m_peakSeconds));
 }
 
-double DecayingTail::gain() const
+double DecayingTailEstimator::gain() const
 {
     // The prior counts as four samples.
     constexpr double priorSamples = 4;
-    return std::max(steadyGain, 1.0 / (priorSamples + m_samples));
+    return std::max(minGain, 1.0 / (priorSamples + m_samples));
 }
 
 double prefillScale(std::uint64_t prefillTokens)
 {
-    return 1 + static_cast<double>(prefillTokens) / prefillUnit;
+    return 1 + static_cast<double>(prefillTokens) / prefillTokensPerFixedCost;
 }
 
 } // namespace detail
 
-void GapEstimator::addFirstTokenGap(absl::Duration gap, std::uint64_t prefillTokens)
+void TokenLatencyEstimator::addTimeToFirstToken(absl::Duration latency, std::uint64_t prefillTokens)
 {
-    m_firstTokenGaps.add(gap / detail::prefillScale(prefillTokens));
+    m_timeToFirstToken.add(latency / detail::prefillScale(prefillTokens));
 }
 
-absl::Duration GapEstimator::firstTokenTail(std::uint64_t prefillTokens) const
+absl::Duration TokenLatencyEstimator::timeToFirstTokenTail(std::uint64_t prefillTokens) const
 {
-    return m_firstTokenGaps.tail() * detail::prefillScale(prefillTokens);
+    return m_timeToFirstToken.tail() * detail::prefillScale(prefillTokens);
 }
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/GapEstimator.h
+++ b/Libraries/LibRouting/TokenLatencyEstimator.h
@@ -12,10 +12,10 @@
 namespace detail {
 
 // Decaying mean, deviation and peak of a series of durations.
-class DecayingTail
+class DecayingTailEstimator
 {
 public:
-    explicit DecayingTail(absl::Duration prior);
+    explicit DecayingTailEstimator(absl::Duration prior);
 
     void add(absl::Duration sample);
     // A duration that only a rare sample exceeds.
@@ -35,20 +35,20 @@
 
 } // namespace detail
 
-class GapEstimator
+class TokenLatencyEstimator
 {
 public:
-    void addTokenGap(absl::Duration gap) { m_tokenGaps.add(gap); }
+    void addInterTokenLatency(absl::Duration latency) { m_interTokenLatency.add(latency); }
     // `prefillTokens` counts the prompt and the prefix that the attempt opened with.
-    void addFirstTokenGap(absl::Duration gap, std::uint64_t prefillTokens);
+    void addTimeToFirstToken(absl::Duration latency, std::uint64_t prefillTokens);
 
-    [[nodiscard]] absl::Duration tokenGapTail() const { return m_tokenGaps.tail(); }
-    [[nodiscard]] absl::Duration firstTokenTail(std::uint64_t prefillTokens) const;
+    [[nodiscard]] absl::Duration interTokenLatencyTail() const { return m_interTokenLatency.tail(); }
+    [[nodiscard]] absl::Duration timeToFirstTokenTail(std::uint64_t prefillTokens) const;
 
 private:
-    detail::DecayingTail m_tokenGaps{absl::Milliseconds(100)};
+    detail::DecayingTailEstimator m_interTokenLatency{absl::Milliseconds(100)};
     // Normalised by prefillScale(), so that short prompts tell something about long ones.
-    detail::DecayingTail m_firstTokenGaps{absl::Milliseconds(500)};
+    detail::DecayingTailEstimator m_timeToFirstToken{absl::Milliseconds(500)};
 };
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/WaitEstimator.h
+++ b/Libraries/LibRouting/WaitEstimator.h
@@ -17,21 +17,21 @@
     void noteGenerationEnded(const ServiceName &, absl::Time now);
     // The wait of the request at the position (zero is the front); empty while too few generations have
     // ended.
-    [[nodiscard]] std::optional<absl::Duration> waitAt(const ServiceName &, std::size_t position,
-                                                       absl::Time now) const;
+    [[nodiscard]] std::optional<absl::Duration> estimateWait(const ServiceName &, std::size_t position,
+                                                             absl::Time now) const;
 
 private:
-    struct Ends
+    struct Completions
     {
         absl::Time first;
         absl::Time last;
         // Ends so far, each faded by its age.
-        double faded{0};
+        double decayedCount{0};
     };
 
-    [[nodiscard]] static double fadedAt(const Ends &, absl::Time now);
+    [[nodiscard]] static double decayedCountAt(const Completions &, absl::Time now);
 
-    std::map<ServiceName, Ends> m_ends;
+    std::map<ServiceName, Completions> m_completions;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibRouting/WorkspaceShares.cpp
+++ b/Libraries/LibRouting/WorkspaceShares.cpp
@@ -6,13 +6,13 @@
 
 namespace Wisteria {
 
-void WorkspaceShares::setDemandElsewhere(const WorkspaceName &workspace, std::uint32_t elsewhere,
-                                         std::uint32_t liveRouters)
+void WorkspaceShares::setRemoteDemand(const WorkspaceName &workspace, std::uint32_t remoteGenerations,
+                                      std::uint32_t liveRouters)
 {
     Share &share = m_shares[workspace];
-    share.elsewhere = elsewhere;
+    share.remoteGenerations = remoteGenerations;
     share.liveRouters = liveRouters;
-    share.hereAtReport = share.here;
+    share.localAtLastReport = share.localGenerations;
 }
 
 bool WorkspaceShares::mayAdmit(const WorkspaceSpec &spec) const
@@ -21,36 +21,36 @@
     if (it == m_shares.end())
         return spec.maxGenerations > 0;
     const Share &share = it->second;
-    if (share.here + share.elsewhere >= spec.maxGenerations)
+    if (share.localGenerations + share.remoteGenerations >= spec.maxGenerations)
         return false;
     if (share.liveRouters <= 1)
         return true;
-    const std::uint64_t total = std::uint64_t{share.hereAtReport} + share.elsewhere;
+    const std::uint64_t total = std::uint64_t{share.localAtLastReport} + share.remoteGenerations;
     if (total >= spec.maxGenerations)
-        return share.here < share.hereAtReport;
-    const std::uint64_t room = spec.maxGenerations - total;
-    const std::uint64_t allowance = (room * (share.hereAtReport + 1) + total) / (total + 1);
-    return share.here < share.hereAtReport + allowance;
+        return share.localGenerations < share.localAtLastReport;
+    const std::uint64_t headroom = spec.maxGenerations - total;
+    const std::uint64_t allowance = (headroom * (share.localAtLastReport + 1) + total) / (total + 1);
+    return share.localGenerations < share.localAtLastReport + allowance;
 }
 
 void WorkspaceShares::add(const WorkspaceName &workspace)
 {
-    ++m_shares[workspace].here;
+    ++m_shares[workspace].localGenerations;
 }
 
 void WorkspaceShares::remove(const WorkspaceName &workspace)
 {
     auto it = m_shares.find(workspace);
-    VERIFY(it != m_shares.end() && it->second.here > 0);
-    --it->second.here;
+    VERIFY(it != m_shares.end() && it->second.localGenerations > 0);
+    --it->second.localGenerations;
 }
 
 std::map<WorkspaceName, std::uint32_t> WorkspaceShares::demand() const
 {
     std::map<WorkspaceName, std::uint32_t> out;
     for (const auto &[workspace, share] : m_shares) {
-        if (share.here > 0)
-            out.emplace(workspace, share.here);
+        if (share.localGenerations > 0)
+            out.emplace(workspace, share.localGenerations);
     }
     return out;
 }
--- a/Libraries/LibRouting/WorkspaceShares.h
+++ b/Libraries/LibRouting/WorkspaceShares.h
@@ -21,7 +21,7 @@
 class WorkspaceShares
 {
 public:
-    void setDemandElsewhere(const WorkspaceName &, std::uint32_t elsewhere, std::uint32_t liveRouters);
+    void setRemoteDemand(const WorkspaceName &, std::uint32_t remoteGenerations, std::uint32_t liveRouters);
 
     [[nodiscard]] bool mayAdmit(const WorkspaceSpec &) const;
     void add(const WorkspaceName &);
@@ -33,11 +33,11 @@
 private:
     struct Share
     {
-        std::uint32_t here{0};
-        std::uint32_t elsewhere{0};
+        std::uint32_t localGenerations{0};
+        std::uint32_t remoteGenerations{0};
         std::uint32_t liveRouters{1};
         // `here` when the last report came.
-        std::uint32_t hereAtReport{0};
+        std::uint32_t localAtLastReport{0};
     };
 
     std::map<WorkspaceName, Share> m_shares;
--- a/Services/Router/CompletionHandler.cpp
+++ b/Services/Router/CompletionHandler.cpp
@@ -28,9 +28,9 @@
 constexpr std::size_t headBytes = 256;
 constexpr std::size_t bytesPerToken = 4;
 
-PromptHead headOf(const std::string &prompt)
+PromptPrefixHash headOf(const std::string &prompt)
 {
-    return PromptHead(XXH64(prompt.data(), std::min(prompt.size(), headBytes), 0));
+    return PromptPrefixHash(XXH64(prompt.data(), std::min(prompt.size(), headBytes), 0));
 }
 
 ErrorOr<Urgency> readUrgency(const httplib::Request &request)
@@ -137,7 +137,7 @@
         if (id.offset.value() >= generation.opened.maxTokens)
             return makeError(ErrorCode::InvalidRequest, "Last-Event-ID is beyond max_tokens");
     }
-    generation.opened.head = detail::headOf(generation.prompt);
+    generation.opened.prefixHash = detail::headOf(generation.prompt);
     generation.opened.promptTokens =
         static_cast<std::uint32_t>(generation.prompt.size() / detail::bytesPerToken);
     generation.session = std::make_shared<CallerSession>(detail::sessionCapacity);
--- a/Services/Router/GenerationHost.cpp
+++ b/Services/Router/GenerationHost.cpp
@@ -187,7 +187,7 @@
 {
     m_metrics.count("decisions_total{kind=\"" + std::string(decisionName(decision.kind)) + "\"}");
     auto it = m_generations.find(decision.generation);
-    bool resumes = decision.kind == DecisionKind::Resume || decision.kind == DecisionKind::Race
+    bool resumes = decision.kind == DecisionKind::Resume || decision.kind == DecisionKind::Hedge
         || decision.kind == DecisionKind::Reattach;
     if (it != m_generations.end() && resumes)
         it->second->isResuming = true;
--- a/Services/Router/TargetPoller.cpp
+++ b/Services/Router/TargetPoller.cpp
@@ -19,9 +19,9 @@
 constexpr double maxPollsPerSecond = 20;
 
 // Cache events name prompt heads as hexadecimal numbers.
-std::vector<PromptHead> readHeads(const nlohmann::json &names)
+std::vector<PromptPrefixHash> readHeads(const nlohmann::json &names)
 {
-    std::vector<PromptHead> heads;
+    std::vector<PromptPrefixHash> heads;
     for (const auto &it : names) {
         std::uint64_t n = 0;
         if (absl::SimpleHexAtoi(it.get<std::string>(), &n))
--- a/Tests/LibRouting/FakeWorldFaults.cpp
+++ b/Tests/LibRouting/FakeWorldFaults.cpp
@@ -173,7 +173,7 @@
             continue;
         m_clock.after(upTo(1000), [this, id = it->id(), n = it->running(), at = m_clock.now()] {
             tell(LoadReported{id, n, 0, m_clock.now() - at});
-            tell(CacheReported{id, {PromptHead(below(4))}, {PromptHead(below(4))}});
+            tell(CacheReported{id, {PromptPrefixHash(below(4))}, {PromptPrefixHash(below(4))}});
         });
     }
     for (std::uint64_t it = 0; it < m_processes.size(); ++it)
--- a/Tests/LibRouting/TestEstimates.cpp
+++ b/Tests/LibRouting/TestEstimates.cpp
@@ -27,42 +27,42 @@
 public:
     void gapsFollowTheEngine()
     {
-        GapEstimator fast;
-        GapEstimator slow;
+        TokenLatencyEstimator fast;
+        TokenLatencyEstimator slow;
         for (int it = 0; it < 200; ++it) {
-            fast.addTokenGap(absl::Milliseconds(20 + it % 5));
-            slow.addTokenGap(absl::Milliseconds(800 + it % 200));
+            fast.addInterTokenLatency(absl::Milliseconds(20 + it % 5));
+            slow.addInterTokenLatency(absl::Milliseconds(800 + it % 200));
         }
-        CPPUNIT_ASSERT(fast.tokenGapTail() < absl::Milliseconds(300));
-        CPPUNIT_ASSERT(slow.tokenGapTail() > absl::Milliseconds(990));
-        CPPUNIT_ASSERT(slow.tokenGapTail() < absl::Seconds(2));
+        CPPUNIT_ASSERT(fast.interTokenLatencyTail() < absl::Milliseconds(300));
+        CPPUNIT_ASSERT(slow.interTokenLatencyTail() > absl::Milliseconds(990));
+        CPPUNIT_ASSERT(slow.interTokenLatencyTail() < absl::Seconds(2));
     }
 
     void onePauseDoesNotBlind()
     {
-        GapEstimator gaps;
+        TokenLatencyEstimator gaps;
         for (int it = 0; it < 200; ++it)
-            gaps.addTokenGap(absl::Milliseconds(40));
-        const absl::Duration before = gaps.tokenGapTail();
-        gaps.addTokenGap(absl::Seconds(30));
-        CPPUNIT_ASSERT(gaps.tokenGapTail() <= before * 4);
+            gaps.addInterTokenLatency(absl::Milliseconds(40));
+        const absl::Duration before = gaps.interTokenLatencyTail();
+        gaps.addInterTokenLatency(absl::Seconds(30));
+        CPPUNIT_ASSERT(gaps.interTokenLatencyTail() <= before * 4);
     }
 
     void firstTokensScaleWithPrefill()
     {
-        GapEstimator gaps;
+        TokenLatencyEstimator gaps;
         for (int it = 0; it < 50; ++it)
-            gaps.addFirstTokenGap(absl::Milliseconds(200), 1024);
-        CPPUNIT_ASSERT(gaps.firstTokenTail(8192) > absl::Milliseconds(800));
-        CPPUNIT_ASSERT(gaps.firstTokenTail(0) < absl::Milliseconds(800));
+            gaps.addTimeToFirstToken(absl::Milliseconds(200), 1024);
+        CPPUNIT_ASSERT(gaps.timeToFirstTokenTail(8192) > absl::Milliseconds(800));
+        CPPUNIT_ASSERT(gaps.timeToFirstTokenTail(0) < absl::Milliseconds(800));
     }
 
     void loadAddsOwnWorkSinceReport()
     {
         const absl::Time t0 = absl::FromUnixSeconds(1000);
         TargetState target(TargetChanged{.target = TargetId("t"), .slots = 8});
-        target.noteAttemptBegun(t0);
-        target.noteAttemptBegun(t0 + absl::Seconds(2));
+        target.noteAttemptStarted(t0);
+        target.noteAttemptStarted(t0 + absl::Seconds(2));
         // Measured between the two: it holds the first, five of other routers, and one that waits.
         target.apply(LoadReported{TargetId("t"), 6, 1, absl::Seconds(2)}, t0 + absl::Seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(8), target.load(t0 + absl::Seconds(3)));
@@ -96,7 +96,7 @@
             budget.noteFirstAttempt(now);
         CPPUNIT_ASSERT_EQUAL(15, taken(budget, RetryBudget::Kind::Retry, now));
         CPPUNIT_ASSERT_EQUAL(40, taken(budget, RetryBudget::Kind::Resume, now));
-        CPPUNIT_ASSERT_EQUAL(0, taken(budget, RetryBudget::Kind::Race, now));
+        CPPUNIT_ASSERT_EQUAL(0, taken(budget, RetryBudget::Kind::Hedge, now));
         CPPUNIT_ASSERT_EQUAL(5, taken(budget, RetryBudget::Kind::Retry, now + absl::Seconds(31)));
     }
 
@@ -106,7 +106,7 @@
         WorkspaceShares shares;
         CPPUNIT_ASSERT_EQUAL(100, admitted(shares, spec));
         WorkspaceShares small;
-        small.setDemandElsewhere(spec.name, 80, 5);
+        small.setRemoteDemand(spec.name, 80, 5);
         CPPUNIT_ASSERT(admitted(small, spec) <= 2);
     }
 
@@ -120,7 +120,7 @@
         for (auto &it : all) {
             for (int own = 0; own < 8; ++own)
                 it.add(spec.name);
-            it.setDemandElsewhere(spec.name, 8 * (routers - 1), routers);
+            it.setRemoteDemand(spec.name, 8 * (routers - 1), routers);
             total += 8 + admitted(it, spec);
         }
         CPPUNIT_ASSERT(total >= 100 && total <= 100 + static_cast<int>(routers) + 3);
@@ -134,7 +134,7 @@
             candidates[it] = {.id = TargetId("t" + std::to_string(it)), .slots = 16};
         int moved = 0;
         for (std::uint64_t it = 0; it < 1000; ++it) {
-            const PromptHead head(it * 0x9e3779b97f4a7c15ULL);
+            const PromptPrefixHash head(it * 0x9e3779b97f4a7c15ULL);
             const TargetId before = candidates[selector.select(candidates, head)].id;
             const std::span<const TargetCandidate> fewer(candidates.data(), candidates.size() - 1);
             const TargetId after = fewer[selector.select(fewer, head)].id;
@@ -142,7 +142,7 @@
         }
         // Only the heads of the target that left move: about 1 in 20.
         CPPUNIT_ASSERT(moved > 20 && moved < 90);
-        const PromptHead head(7);
+        const PromptPrefixHash head(7);
         const std::size_t home = selector.select(candidates, head);
         candidates[home].load = 16;
         CPPUNIT_ASSERT(selector.select(candidates, head) != home);
@@ -162,7 +162,7 @@
     {
         constexpr std::uint32_t running = 40;
         int n = 0;
-        while (budget.tryTake(kind, 0.1, running, now))
+        while (budget.tryConsume(kind, 0.1, running, now))
             ++n;
         return n;
     }
--- a/Tests/LibRouting/TestRouter.cpp
+++ b/Tests/LibRouting/TestRouter.cpp
@@ -206,7 +206,7 @@
         const auto first = start(host);
         for (int it = 3; it <= 9; ++it)
             host.addTarget("t" + std::to_string(it));
-        host.feed(CacheReported{TargetId("t7"), {PromptHead()}, {}});
+        host.feed(CacheReported{TargetId("t7"), {PromptPrefixHash()}, {}});
         host.bring(first.attempt, 0, 3);
         const bool wasThere = first.target == TargetId("t7");
         auto again = only<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
--- a/Tests/LibRouting/TestSpreadChoice.cpp
+++ b/Tests/LibRouting/TestSpreadChoice.cpp
@@ -1,7 +1,7 @@
 // The choice of targets for resumes: spread over generations, away from full targets and from the lost
 // domain.
 
-#include <LibRouting/SpreadChoice.h>
+#include <LibRouting/SpreadTargetSelection.h>
 
 #include <absl/strings/str_cat.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -32,7 +32,7 @@
 {
     std::map<std::size_t, int> out;
     for (int n = 0; n < spreadGenerations; ++n)
-        ++out[spreadChoice(targets, GenerationId(absl::StrCat("g", n)), lost)];
+        ++out[selectSpreadTarget(targets, GenerationId(absl::StrCat("g", n)), lost)];
     return out;
 }
 
@@ -51,7 +51,7 @@
     void holderOfTheHeadDoesNotTakeAll()
     {
         auto targets = detail::sixTargets();
-        targets[1].holdsHead = true;
+        targets[1].hasCachedPrefix = true;
         const auto counts = detail::countChoices(targets, std::nullopt);
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, counts.size());
         CPPUNIT_ASSERT(counts.at(1) < detail::spreadGenerations / 2);
@@ -67,7 +67,8 @@
     void lostDomainIsTakenWhenNoOtherIsLeft()
     {
         std::vector<TargetCandidate> targets{detail::sixTargets()[0]};
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, spreadChoice(targets, GenerationId("g"), FailureDomain("d0")));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0},
+                             selectSpreadTarget(targets, GenerationId("g"), FailureDomain("d0")));
     }
 
     void fullTargetIsLastChoice()
--- a/Utilities/wisteria-measure/Engine.cpp
+++ b/Utilities/wisteria-measure/Engine.cpp
@@ -274,9 +274,9 @@
     const std::uint32_t cached = std::max(m_cache.lookup(own), m_cache.lookup(request.head.value()));
     const bool headIsNew = m_cache.lookup(request.head.value()) == 0;
     for (auto key : m_cache.store(request.head.value(), request.headTokens))
-        m_cacheChanges.evicted.push_back(PromptHead(key));
+        m_cacheChanges.evicted.push_back(PromptPrefixHash(key));
     for (auto key : m_cache.store(own, whole))
-        m_cacheChanges.evicted.push_back(PromptHead(key));
+        m_cacheChanges.evicted.push_back(PromptPrefixHash(key));
     if (headIsNew)
         m_cacheChanges.stored.push_back(request.head);
     // The last token is computed even when everything before it is cached.
--- a/Utilities/wisteria-measure/Engine.h
+++ b/Utilities/wisteria-measure/Engine.h
@@ -35,7 +35,7 @@
 {
     GenerationId generation;
     Urgency urgency{Urgency::Patient};
-    PromptHead head;
+    PromptPrefixHash head;
     std::uint32_t promptTokens{0};
     std::uint32_t headTokens{0};
     std::uint32_t answerTokens{0};
--- a/Utilities/wisteria-measure/Fleet.cpp
+++ b/Utilities/wisteria-measure/Fleet.cpp
@@ -137,7 +137,7 @@
     const PlannedRequest &request = *caller->request;
     StreamRequest stream{.generation = action.generation,
                          .urgency = action.urgency,
-                         .head = request.opened.head,
+                         .head = request.opened.prefixHash,
                          .promptTokens = request.opened.promptTokens,
                          .headTokens = request.headTokens,
                          .answerTokens = request.answerTokens,
--- a/Utilities/wisteria-measure/RouterSlopes.cpp
+++ b/Utilities/wisteria-measure/RouterSlopes.cpp
@@ -80,7 +80,7 @@
         request.generation = GenerationId(absl::StrCat("generation-of-this-run-", number));
         request.workspace = WorkspaceName(absl::StrCat("workspace-", number % workspaces));
         request.service = ServiceName("summariser");
-        request.head = PromptHead(number % 97);
+        request.prefixHash = PromptPrefixHash(number % 97);
         request.promptTokens = 1000;
         request.maxTokens = 100000;
         for (const auto &action : give(request)) {
--- a/Utilities/wisteria-measure/Workload.cpp
+++ b/Utilities/wisteria-measure/Workload.cpp
@@ -68,7 +68,7 @@
     out.opened.workspace = WorkspaceName(absl::StrCat("w", workspace));
     out.opened.service = ServiceName(work.service);
     out.opened.urgency = work.urgency;
-    out.opened.head = PromptHead(1 + workspace * headsPerClass + classStart + head);
+    out.opened.prefixHash = PromptPrefixHash(1 + workspace * headsPerClass + classStart + head);
     out.headTokens = work.headTokens;
     out.opened.promptTokens = work.headTokens + vary(work.promptTokens - work.headTokens, random);
     out.answerTokens = vary(work.answerTokens, random);
