--- a/Examples/EmbedDecisions.cpp
+++ b/Examples/EmbedDecisions.cpp
@@ -28,26 +28,26 @@
     {
         FleetConfiguration configuration;
         configuration.version = ConfigVersion(1);
-        configuration.services[m_digest] = ServiceSpec{.name = m_digest, .model = ModelName("summariser")};
-        configuration.workspaces[m_kochi] = WorkspaceSpec{.name = m_kochi};
-        take(ConfigurationChanged{configuration});
-        take(FreshnessChanged{true});
+        configuration.services[m_service] = ServiceSpec{.name = m_service, .model = ModelName("summariser")};
+        configuration.workspaces[m_workspace] = WorkspaceSpec{.name = m_workspace};
+        feed(ConfigurationChanged{configuration});
+        feed(FreshnessChanged{true});
         for (const char *name : {"e1", "e2"})
-            take(TargetChanged{TargetId(name), m_digest, FailureDomain("kochi"), 8, TargetPhase::Live});
+            feed(TargetChanged{TargetId(name), m_service, FailureDomain("kochi"), 8, TargetPhase::Live});
     }
 
     void run()
     {
         RequestOpened request;
         request.generation = GenerationId("g1");
-        request.workspace = m_kochi;
-        request.service = m_digest;
+        request.workspace = m_workspace;
+        request.service = m_service;
         request.maxTokens = answerTokens;
-        take(request);
+        feed(request);
         while (!m_isComplete) {
             m_now += tokenGap;
             if (m_router->nextWakeUp() <= m_now)
-                take(Tick{});
+                feed(Tick{});
             produceTokens();
         }
     }
@@ -58,34 +58,34 @@
     {
         auto streams = m_streams;
         for (auto &[attempt, stream] : streams) {
-            if (stream.target == m_silent || !m_streams.contains(attempt))
+            if (stream.target == m_silentTarget || !m_streams.contains(attempt))
                 continue;
             auto offset = stream.next;
             m_streams[attempt].next = nextOffset(offset);
-            take(TokenArrived{attempt, offset, "token" + std::to_string(offset.value())});
+            feed(TokenArrived{attempt, offset, "token" + std::to_string(offset.value())});
             if (offset.value() + 1 == answerTokens)
-                take(AttemptFinished{attempt, nextOffset(offset), FinishReason::Length});
+                feed(AttemptFinished{attempt, nextOffset(offset), FinishReason::Length});
         }
     }
 
-    void take(const RoutingEvent &event)
+    void feed(const RoutingEvent &event)
     {
         for (const auto &it : m_router->handle(event, m_now))
-            carryOut(it);
+            executeAction(it);
     }
 
-    void carryOut(const RoutingAction &action)
+    void executeAction(const RoutingAction &action)
     {
         if (const auto *start = std::get_if<StartAttempt>(&action)) {
             m_streams[start->attempt] = Stream{start->target, start->from};
-            take(
+            feed(
                 AttemptStarted{start->attempt, EngineStreamId("s" + std::to_string(start->attempt.value()))});
         } else if (const auto *cancel = std::get_if<CancelAttempt>(&action)) {
             m_streams.erase(cancel->attempt);
         } else if (const auto *token = std::get_if<DeliverToken>(&action)) {
             std::cout << token->offset << " " << token->text << " from " << token->target << "\n";
             if (token->offset.value() == answerTokens / 2)
-                m_silent = token->target;
+                m_silentTarget = token->target;
         } else if (const auto *decision = std::get_if<RecordDecision>(&action)) {
             std::cout << "decision " << decisionName(decision->kind) << ": " << decision->reason << "\n";
         } else if (std::holds_alternative<CompleteGeneration>(action)) {
@@ -93,13 +93,13 @@
         }
     }
 
-    const ServiceName m_digest{"digest"};
-    const WorkspaceName m_kochi{"kochi"};
+    const ServiceName m_service{"digest"};
+    const WorkspaceName m_workspace{"kochi"};
     SeededRandom m_random;
     std::unique_ptr<Router> m_router;
     absl::Time m_now{absl::UnixEpoch()};
     std::map<AttemptId, Stream> m_streams;
-    TargetId m_silent;
+    TargetId m_silentTarget;
     bool m_isComplete{false};
 };
 
--- a/Tests/LibRouting/FakeHost.cpp
+++ b/Tests/LibRouting/FakeRouterHost.cpp
@@ -1,10 +1,10 @@
 // The host's clock and shorthand events.
 
-#include "FakeHost.h"
+#include "FakeRouterHost.h"
 
 namespace Wisteria {
 
-FakeHost::FakeHost(PresetSpec preset) : m_router(Router::create(m_random))
+FakeRouterHost::FakeRouterHost(PresetSpec preset) : m_router(Router::create(m_random))
 {
     preset.name = PresetName("test");
     configuration.presetInForce = preset.name;
@@ -13,16 +13,16 @@
     configuration.services[service.name] = service;
     WorkspaceSpec workspace{.name = WorkspaceName("kochi")};
     configuration.workspaces[workspace.name] = workspace;
-    configure();
+    applyConfiguration();
     feed(FreshnessChanged{true});
 }
 
-RoutingActions FakeHost::feed(const RoutingEvent &event)
+RoutingActions FakeRouterHost::feed(const RoutingEvent &event)
 {
     return m_router->handle(event, now);
 }
 
-RoutingActions FakeHost::pass(absl::Duration duration)
+RoutingActions FakeRouterHost::advance(absl::Duration duration)
 {
     const absl::Time end = now + duration;
     RoutingActions out;
@@ -35,18 +35,18 @@
     return out;
 }
 
-void FakeHost::addTarget(const std::string &id, std::uint32_t slots, TargetPhase phase)
+void FakeRouterHost::setTarget(const std::string &id, std::uint32_t slots, TargetPhase phase)
 {
     feed(TargetChanged{TargetId(id), ServiceName("digest"), FailureDomain("a"), slots, phase});
 }
 
-RoutingActions FakeHost::configure()
+RoutingActions FakeRouterHost::applyConfiguration()
 {
     configuration.version = ConfigVersion(configuration.version.value() + 1);
     return feed(ConfigurationChanged{configuration});
 }
 
-RoutingActions FakeHost::open(const std::string &id, Urgency urgency)
+RoutingActions FakeRouterHost::open(const std::string &id, Urgency urgency)
 {
     return feed(RequestOpened{.generation = GenerationId(id),
                               .workspace = WorkspaceName("kochi"),
@@ -56,7 +56,7 @@
                               .maxTokens = 1000});
 }
 
-RoutingActions FakeHost::comeBack(const std::string &id, const ResumePoint &point)
+RoutingActions FakeRouterHost::reopen(const std::string &id, const ResumePoint &point)
 {
     return feed(RequestOpened{.generation = GenerationId(id),
                               .workspace = WorkspaceName("kochi"),
@@ -66,7 +66,7 @@
                               .resume = point});
 }
 
-RoutingActions FakeHost::bring(AttemptId attempt, std::uint64_t from, std::uint64_t count)
+RoutingActions FakeRouterHost::feedTokens(AttemptId attempt, std::uint64_t from, std::uint64_t count)
 {
     RoutingActions out;
     for (std::uint64_t it = from; it < from + count; ++it) {
--- a/Tests/LibRouting/FakeHost.h
+++ b/Tests/LibRouting/FakeRouterHost.h
@@ -11,23 +11,23 @@
 
 namespace Wisteria {
 
-class FakeHost
+class FakeRouterHost
 {
 public:
     // A fresh router with service "digest", workspace "kochi" and one preset.
-    explicit FakeHost(PresetSpec preset = {});
+    explicit FakeRouterHost(PresetSpec preset = {});
 
     RoutingActions feed(const RoutingEvent &);
     // Moves the clock on, with a Tick at each wake-up that the router asks for.
-    RoutingActions pass(absl::Duration);
+    RoutingActions advance(absl::Duration);
 
-    void addTarget(const std::string &id, std::uint32_t slots = 4, TargetPhase phase = TargetPhase::Live);
+    void setTarget(const std::string &id, std::uint32_t slots = 4, TargetPhase phase = TargetPhase::Live);
     // Feeds the present configuration under the next version.
-    RoutingActions configure();
+    RoutingActions applyConfiguration();
     RoutingActions open(const std::string &id, Urgency urgency = Urgency::Patient);
-    RoutingActions comeBack(const std::string &id, const ResumePoint &point);
+    RoutingActions reopen(const std::string &id, const ResumePoint &point);
     // The attempt brings `count` tokens from the offset on.
-    RoutingActions bring(AttemptId, std::uint64_t from, std::uint64_t count = 1);
+    RoutingActions feedTokens(AttemptId, std::uint64_t from, std::uint64_t count = 1);
 
     FleetConfiguration configuration;
     absl::Time now{absl::FromUnixSeconds(1000)};
@@ -42,7 +42,7 @@
 
 // The actions of one type.
 template <typename T>
-std::vector<T> only(const RoutingActions &actions)
+std::vector<T> actionsOfType(const RoutingActions &actions)
 {
     std::vector<T> out;
     for (const auto &it : actions) {
--- a/Tests/LibRouting/FakeClock.h
+++ b/Tests/LibRouting/FakeRoutingClock.h
@@ -9,7 +9,7 @@
 
 namespace Wisteria {
 
-class FakeClock
+class FakeRoutingClock
 {
 public:
     using Callback = std::function<void()>;
@@ -22,7 +22,7 @@
     void after(absl::Duration delay, Callback callback) { at(m_now + delay, std::move(callback)); }
 
     // Runs the next callback up to the end; false when there is none.
-    bool step(absl::Time end)
+    bool runNext(absl::Time end)
     {
         if (m_queue.empty() || m_queue.begin()->first > end)
             return false;
--- a/Tests/LibRouting/FakeWorld.h
+++ b/Tests/LibRouting/FakeRoutingCluster.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "FakeEngine.h"
+#include "FakeRoutingEngine.h"
 
 #include <LibRouting/Router.h>
 
@@ -13,24 +13,25 @@
 namespace Wisteria {
 
 // A broken promise, with what was seen.
-class FakeViolation : public std::runtime_error
+class RoutingInvariantViolation : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-class FakeWorld
+class FakeRoutingCluster
 {
 public:
-    explicit FakeWorld(std::uint64_t seed);
-    // Faults first, then a time without any in which each caller must get its end. Throws FakeViolation.
+    explicit FakeRoutingCluster(std::uint64_t seed);
+    // Faults first, then a time without any in which each caller must get its end. Throws
+    // RoutingInvariantViolation.
     void run();
 
     struct Counts
     {
         std::uint64_t completed{0};
         std::uint64_t refused{0};
-        std::uint64_t left{0};
+        std::uint64_t abandoned{0};
         std::uint64_t attempts{0};
         std::uint64_t faults{0};
         std::uint64_t events{0};
@@ -40,7 +41,7 @@
     [[nodiscard]] const Counts &counts() const { return m_counts; }
 
 private:
-    enum class CallerState { Connecting, Connected, Completed, Refused, Left };
+    enum class CallerState { Connecting, Connected, Completed, Refused, Abandoned };
 
     struct Caller
     {
@@ -53,21 +54,21 @@
         FinishReason reason{FinishReason::Stop};
         std::vector<std::string> received;
         // For each token, what its event id names.
-        std::vector<ResumePoint> points;
-        std::uint32_t openings{0};
+        std::vector<ResumePoint> resumePoints;
+        std::uint32_t connectionCount{0};
         // The service's version stamp when the present answer was begun.
         ConfigVersion openedUnder;
         std::string modelVersion;
-        std::uint32_t attemptsInOpening{0};
+        std::uint32_t attemptsInConnection{0};
     };
 
     // One generation as the host of a router holds it.
-    struct Opening
+    struct HostedGeneration
     {
         std::size_t caller{0};
         // Which of the caller's connections.
-        std::uint32_t connection{0};
-        std::vector<std::string> texts;
+        std::uint32_t connectionNumber{0};
+        std::vector<std::string> tokens;
         std::string modelVersion;
     };
 
@@ -83,65 +84,65 @@
         std::uint64_t number{0};
         std::unique_ptr<SeededRandom> random;
         std::unique_ptr<Router> router;
-        bool isDead{false};
+        bool isKilled{false};
         bool isDraining{false};
         bool isFresh{false};
-        bool wasToldToDrain{false};
+        bool hasReceivedDrain{false};
         std::map<ServiceName, ServiceSpec> services;
         absl::Time pausedUntil{absl::InfinitePast()};
         std::map<TargetId, TargetPhase> phases;
-        std::map<GenerationId, Opening> openings;
+        std::map<GenerationId, HostedGeneration> hostedGenerations;
         // Started and neither ended by the engine nor cancelled.
         std::map<AttemptId, HostedAttempt> attempts;
-        absl::Time tickAt{absl::InfinitePast()};
+        absl::Time nextTickAt{absl::InfinitePast()};
     };
 
     void addProcess();
     void addCaller(std::size_t number);
-    void connect(std::size_t caller, absl::Duration delay);
-    void comeBack(Caller &);
-    [[nodiscard]] Process *pickProcess();
-    void open(std::uint64_t process, const RequestOpened &, const Opening &);
+    void scheduleConnect(std::size_t caller, absl::Duration delay);
+    void connect(Caller &);
+    [[nodiscard]] Process *randomLiveProcess();
+    void openRequest(std::uint64_t process, const RequestOpened &, const HostedGeneration &);
 
     void feed(std::uint64_t process, const RoutingEvent &);
     void scheduleTick(Process &);
-    void carryOut(Process &, const RoutingEvent &cause, const RoutingAction &);
-    void act(Process &, const RoutingEvent &, const StartAttempt &);
-    void act(Process &, const RoutingEvent &, const ReattachAttempt &);
-    void act(Process &, const RoutingEvent &, const CancelAttempt &);
-    void act(Process &, const RoutingEvent &, const DeliverToken &);
-    void act(Process &, const RoutingEvent &, const CompleteGeneration &);
-    void act(Process &, const RoutingEvent &, const RefuseGeneration &);
-    void act(Process &, const RoutingEvent &, const HandOverGeneration &);
-    void act(Process &, const RoutingEvent &, const RecordDecision &) { }
-    [[nodiscard]] Opening &openingOf(Process &, const GenerationId &, const char *what);
+    void executeAction(Process &, const RoutingEvent &cause, const RoutingAction &);
+    void execute(Process &, const RoutingEvent &, const StartAttempt &);
+    void execute(Process &, const RoutingEvent &, const ReattachAttempt &);
+    void execute(Process &, const RoutingEvent &, const CancelAttempt &);
+    void execute(Process &, const RoutingEvent &, const DeliverToken &);
+    void execute(Process &, const RoutingEvent &, const CompleteGeneration &);
+    void execute(Process &, const RoutingEvent &, const RefuseGeneration &);
+    void execute(Process &, const RoutingEvent &, const HandOverGeneration &);
+    void execute(Process &, const RoutingEvent &, const RecordDecision &) { }
+    [[nodiscard]] HostedGeneration &findHostedGeneration(Process &, const GenerationId &, const char *what);
     // The caller, if it still listens to this router.
-    [[nodiscard]] Caller *listener(const Process &, const Opening &);
-    void close(Process &, const GenerationId &);
-    void noteAttempt(Process &, Opening &, AttemptId, HostedAttempt);
+    [[nodiscard]] Caller *connectedCaller(const Process &, const HostedGeneration &);
+    void removeGeneration(Process &, const GenerationId &);
+    void addAttempt(Process &, HostedGeneration &, AttemptId, HostedAttempt);
 
     void injectFault();
-    void killProcess();
-    void stopProcess();
-    void dropCaller();
-    void leaveCaller();
-    void changeConfiguration();
-    void loseDomain();
+    void killOrPauseProcess();
+    void drainProcess();
+    void disconnectCaller();
+    void abandonRequest();
+    void randomizeConfiguration();
+    void crashDomain();
     void setPhase(std::size_t engine, TargetPhase);
-    void tell(const RoutingEvent &);
-    void report();
+    void broadcast(const RoutingEvent &);
+    void reportLoad();
 
-    void checkEnd();
+    void checkFinalState();
     [[nodiscard]] std::uint64_t below(std::uint64_t n) { return m_random.below(n); }
-    [[nodiscard]] absl::Duration upTo(int ms)
+    [[nodiscard]] absl::Duration randomDuration(int maxMs)
     {
-        return absl::Milliseconds(below(static_cast<std::uint64_t>(ms) + 1));
+        return absl::Milliseconds(below(static_cast<std::uint64_t>(maxMs) + 1));
     }
 
-    FakeClock m_clock;
+    FakeRoutingClock m_clock;
     SeededRandom m_random;
     FleetConfiguration m_configuration;
-    std::vector<std::unique_ptr<FakeEngine>> m_engines;
+    std::vector<std::unique_ptr<FakeRoutingEngine>> m_engines;
     std::vector<TargetChanged> m_targets;
     std::vector<Process> m_processes;
     std::vector<Caller> m_callers;
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -1,6 +1,6 @@
 // What comes in, what waits and what is refused at once.
 
-#include "FakeHost.h"
+#include "FakeRouterHost.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,113 +12,113 @@
 class TestAdmission : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestAdmission);
-    CPPUNIT_TEST(refusesUnknownNames);
-    CPPUNIT_TEST(refusesWhileStaleButReattaches);
-    CPPUNIT_TEST(keepsReserveForUrgent);
-    CPPUNIT_TEST(reservesWholeTargetsForUrgent);
-    CPPUNIT_TEST(opensReserveWhenNothingElseIsLeft);
-    CPPUNIT_TEST(letsUrgentPastPatient);
-    CPPUNIT_TEST(boundsQueueAndRefusesAtOnce);
-    CPPUNIT_TEST(sharesSlotsByWeight);
-    CPPUNIT_TEST(holdsWorkspaceLimitOverRouters);
-    CPPUNIT_TEST(refusesWaitersWhenTargetsAreGone);
-    CPPUNIT_TEST(endsWaitingAtDeadline);
-    CPPUNIT_TEST(refusesAtOnceWhatWouldOutwaitItsTimeout);
-    CPPUNIT_TEST(usesSuspectOnlyWhenNothingElse);
-    CPPUNIT_TEST(ignoresOlderConfiguration);
-    CPPUNIT_TEST(handsWaitersOverAtDrain);
+    CPPUNIT_TEST(refusesUnknownWorkspaceOrService);
+    CPPUNIT_TEST(staleRouterRefusesNewWorkButReattaches);
+    CPPUNIT_TEST(keepsReservedSlotsForUrgentRequests);
+    CPPUNIT_TEST(reservesWholeTargetsForUrgentRequests);
+    CPPUNIT_TEST(patientRequestUsesReservedTargetWhenNoOtherIsLive);
+    CPPUNIT_TEST(startsUrgentRequestsBeforePatientOnes);
+    CPPUNIT_TEST(refusesAtOnceWhenQueueIsFull);
+    CPPUNIT_TEST(sharesSlotsByWorkspaceWeight);
+    CPPUNIT_TEST(enforcesWorkspaceLimitAcrossRouters);
+    CPPUNIT_TEST(refusesQueuedRequestsWhenNoTargetIsLeft);
+    CPPUNIT_TEST(refusesQueuedRequestAtDeadline);
+    CPPUNIT_TEST(refusesAtOnceWhenEstimatedWaitExceedsDeadline);
+    CPPUNIT_TEST(usesSuspectTargetOnlyWhenNoLiveOneIsLeft);
+    CPPUNIT_TEST(ignoresOlderConfigurationVersion);
+    CPPUNIT_TEST(handsOverQueuedRequestsOnDrain);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void refusesUnknownNames()
+    void refusesUnknownWorkspaceOrService()
     {
-        FakeHost host;
-        CPPUNIT_ASSERT(refusal(host.open("g")) == ErrorCode::NoTargetAvailable);
+        FakeRouterHost host;
+        CPPUNIT_ASSERT(refusalCode(host.open("g")) == ErrorCode::NoTargetAvailable);
         host.configuration.workspaces.clear();
-        host.configure();
-        CPPUNIT_ASSERT(refusal(host.open("g")) == ErrorCode::UnknownWorkspace);
+        host.applyConfiguration();
+        CPPUNIT_ASSERT(refusalCode(host.open("g")) == ErrorCode::UnknownWorkspace);
         host.configuration.services.begin()->second.kind = ServiceKind::Plain;
-        host.configure();
-        CPPUNIT_ASSERT(refusal(host.open("g")) == ErrorCode::UnknownService);
+        host.applyConfiguration();
+        CPPUNIT_ASSERT(refusalCode(host.open("g")) == ErrorCode::UnknownService);
     }
 
-    void refusesWhileStaleButReattaches()
+    void staleRouterRefusesNewWorkButReattaches()
     {
-        FakeHost host;
-        host.addTarget("t1");
+        FakeRouterHost host;
+        host.setTarget("t1");
         host.feed(FreshnessChanged{false});
-        auto refused = only<RefuseGeneration>(host.open("g")).at(0).error;
+        auto refused = actionsOfType<RefuseGeneration>(host.open("g")).at(0).error;
         CPPUNIT_ASSERT(refused.code == ErrorCode::ConfigurationStale && refused.retryAfter);
         const ResumePoint point{TargetId("t1"), EngineStreamId("s"), TokenOffset(0), TokenOffset(5)};
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<ReattachAttempt>(host.comeBack("h", point)).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), actionsOfType<ReattachAttempt>(host.reopen("h", point)).size());
     }
 
-    void keepsReserveForUrgent()
+    void keepsReservedSlotsForUrgentRequests()
     {
-        FakeHost host({.urgentReserve = 0.5});
-        host.addTarget("t1", 4);
-        CPPUNIT_ASSERT(starts(host.open("p1")) && starts(host.open("p2")));
-        CPPUNIT_ASSERT(!starts(host.open("p3")));
-        CPPUNIT_ASSERT(starts(host.open("u1", Urgency::Urgent)));
-        CPPUNIT_ASSERT(starts(host.open("u2", Urgency::Urgent)));
+        FakeRouterHost host({.urgentReserve = 0.5});
+        host.setTarget("t1", 4);
+        CPPUNIT_ASSERT(startsAttempt(host.open("p1")) && startsAttempt(host.open("p2")));
+        CPPUNIT_ASSERT(!startsAttempt(host.open("p3")));
+        CPPUNIT_ASSERT(startsAttempt(host.open("u1", Urgency::Urgent)));
+        CPPUNIT_ASSERT(startsAttempt(host.open("u2", Urgency::Urgent)));
     }
 
-    void reservesWholeTargetsForUrgent()
+    void reservesWholeTargetsForUrgentRequests()
     {
-        FakeHost host({.urgentReserve = 0.5});
+        FakeRouterHost host({.urgentReserve = 0.5});
         for (const char *id : {"t1", "t2", "t3", "t4"})
-            host.addTarget(id, 2);
+            host.setTarget(id, 2);
         std::set<TargetId> patient;
         for (const char *id : {"p1", "p2", "p3", "p4"})
-            patient.insert(only<StartAttempt>(host.open(id)).at(0).target);
+            patient.insert(actionsOfType<StartAttempt>(host.open(id)).at(0).target);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), patient.size());
-        CPPUNIT_ASSERT(!starts(host.open("p5")));
+        CPPUNIT_ASSERT(!startsAttempt(host.open("p5")));
         // Another router's load report makes no difference: no patient work is ever there.
         for (const char *id : {"u1", "u2", "u3", "u4"})
             CPPUNIT_ASSERT(
-                !patient.contains(only<StartAttempt>(host.open(id, Urgency::Urgent)).at(0).target));
+                !patient.contains(actionsOfType<StartAttempt>(host.open(id, Urgency::Urgent)).at(0).target));
     }
 
-    void opensReserveWhenNothingElseIsLeft()
+    void patientRequestUsesReservedTargetWhenNoOtherIsLive()
     {
-        FakeHost host({.urgentReserve = 0.5});
-        host.addTarget("t1", 2);
-        host.addTarget("t2", 2);
-        const auto open = only<StartAttempt>(host.open("p1")).at(0).target;
-        host.addTarget(open.value(), 2, TargetPhase::Leaving);
-        const auto next = only<StartAttempt>(host.open("p2"));
+        FakeRouterHost host({.urgentReserve = 0.5});
+        host.setTarget("t1", 2);
+        host.setTarget("t2", 2);
+        const auto open = actionsOfType<StartAttempt>(host.open("p1")).at(0).target;
+        host.setTarget(open.value(), 2, TargetPhase::Leaving);
+        const auto next = actionsOfType<StartAttempt>(host.open("p2"));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), next.size());
         CPPUNIT_ASSERT(next[0].target != open);
     }
 
-    void letsUrgentPastPatient()
+    void startsUrgentRequestsBeforePatientOnes()
     {
-        FakeHost host({.urgentReserve = 0});
-        host.addTarget("t1", 1);
-        const auto running = only<StartAttempt>(host.open("p1")).at(0);
-        CPPUNIT_ASSERT(!starts(host.open("p2")));
-        CPPUNIT_ASSERT(starts(host.open("u1", Urgency::Urgent)));
-        CPPUNIT_ASSERT(!starts(host.open("u2", Urgency::Urgent)));
-        auto next = only<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)}));
+        FakeRouterHost host({.urgentReserve = 0});
+        host.setTarget("t1", 1);
+        const auto running = actionsOfType<StartAttempt>(host.open("p1")).at(0);
+        CPPUNIT_ASSERT(!startsAttempt(host.open("p2")));
+        CPPUNIT_ASSERT(startsAttempt(host.open("u1", Urgency::Urgent)));
+        CPPUNIT_ASSERT(!startsAttempt(host.open("u2", Urgency::Urgent)));
+        auto next = actionsOfType<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)}));
         CPPUNIT_ASSERT(next.at(0).generation == GenerationId("u2"));
     }
 
-    void boundsQueueAndRefusesAtOnce()
+    void refusesAtOnceWhenQueueIsFull()
     {
-        FakeHost host({.urgentReserve = 0, .maxWaiting = 1});
-        host.addTarget("t1", 1);
+        FakeRouterHost host({.urgentReserve = 0, .maxWaiting = 1});
+        host.setTarget("t1", 1);
         host.open("p1");
-        CPPUNIT_ASSERT(!refusal(host.open("p2")));
-        CPPUNIT_ASSERT(refusal(host.open("p3")) == ErrorCode::Overloaded);
+        CPPUNIT_ASSERT(!refusalCode(host.open("p2")));
+        CPPUNIT_ASSERT(refusalCode(host.open("p3")) == ErrorCode::Overloaded);
     }
 
-    void sharesSlotsByWeight()
+    void sharesSlotsByWorkspaceWeight()
     {
-        FakeHost host({.urgentReserve = 0});
+        FakeRouterHost host({.urgentReserve = 0});
         host.configuration.workspaces[WorkspaceName("heavy")] = {.name = WorkspaceName("heavy"), .weight = 3};
-        host.configure();
-        host.addTarget("t1", 1);
-        auto running = only<StartAttempt>(host.open("g")).at(0);
+        host.applyConfiguration();
+        host.setTarget("t1", 1);
+        auto running = actionsOfType<StartAttempt>(host.open("g")).at(0);
         for (int it = 0; it < 12; ++it) {
             host.open("light" + std::to_string(it));
             RequestOpened heavy{.generation = GenerationId("heavy" + std::to_string(it)),
@@ -128,114 +128,119 @@
         }
         int served = 0;
         for (int it = 0; it < 12; ++it) {
-            running = only<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)})).at(0);
+            running = actionsOfType<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)}))
+                          .at(0);
             served += running.generation.value().starts_with("heavy") ? 1 : 0;
         }
         CPPUNIT_ASSERT(served >= 8 && served <= 10);
     }
 
-    void holdsWorkspaceLimitOverRouters()
+    void enforcesWorkspaceLimitAcrossRouters()
     {
-        FakeHost host;
+        FakeRouterHost host;
         host.configuration.workspaces.begin()->second.maxGenerations = 3;
-        host.configure();
-        host.addTarget("t1", 16);
+        host.applyConfiguration();
+        host.setTarget("t1", 16);
         host.feed(WorkspaceDemandReported{WorkspaceName("kochi"), 2, 2});
-        CPPUNIT_ASSERT(starts(host.open("g1")));
-        CPPUNIT_ASSERT(refusal(host.open("g2")) == ErrorCode::WorkspaceLimitReached);
+        CPPUNIT_ASSERT(startsAttempt(host.open("g1")));
+        CPPUNIT_ASSERT(refusalCode(host.open("g2")) == ErrorCode::WorkspaceLimitReached);
         host.feed(CallerLeft{GenerationId("g1")});
         host.feed(WorkspaceDemandReported{WorkspaceName("kochi"), 2, 2});
-        CPPUNIT_ASSERT(starts(host.open("g3")));
+        CPPUNIT_ASSERT(startsAttempt(host.open("g3")));
     }
 
-    void refusesWaitersWhenTargetsAreGone()
+    void refusesQueuedRequestsWhenNoTargetIsLeft()
     {
-        FakeHost host({.urgentReserve = 0});
-        host.addTarget("t1", 1);
+        FakeRouterHost host({.urgentReserve = 0});
+        host.setTarget("t1", 1);
         host.open("g1");
         host.open("g2");
-        host.addTarget("t1", 1, TargetPhase::Leaving);
+        host.setTarget("t1", 1, TargetPhase::Leaving);
         host.open("g3");
         CPPUNIT_ASSERT(host.router().demand().at(WorkspaceName("kochi")) == 1);
-        CPPUNIT_ASSERT(refusal(host.open("g4")) == ErrorCode::NoTargetAvailable);
+        CPPUNIT_ASSERT(refusalCode(host.open("g4")) == ErrorCode::NoTargetAvailable);
     }
 
-    void endsWaitingAtDeadline()
+    void refusesQueuedRequestAtDeadline()
     {
-        FakeHost host({.urgentReserve = 0});
-        host.addTarget("t1", 1);
-        const auto running = only<StartAttempt>(host.open("g1")).at(0);
+        FakeRouterHost host({.urgentReserve = 0});
+        host.setTarget("t1", 1);
+        const auto running = actionsOfType<StartAttempt>(host.open("g1")).at(0);
         host.feed(RequestOpened{.generation = GenerationId("g2"),
                                 .workspace = WorkspaceName("kochi"),
                                 .service = ServiceName("digest"),
                                 .deadline = host.now + absl::Seconds(1)});
-        CPPUNIT_ASSERT(refusal(host.pass(absl::Milliseconds(1010))) == ErrorCode::DeadlineExceeded);
-        CPPUNIT_ASSERT(!starts(host.feed(AttemptFinished{running.attempt, TokenOffset(0)})));
+        CPPUNIT_ASSERT(refusalCode(host.advance(absl::Milliseconds(1010))) == ErrorCode::DeadlineExceeded);
+        CPPUNIT_ASSERT(!startsAttempt(host.feed(AttemptFinished{running.attempt, TokenOffset(0)})));
     }
 
-    void refusesAtOnceWhatWouldOutwaitItsTimeout()
+    void refusesAtOnceWhenEstimatedWaitExceedsDeadline()
     {
-        FakeHost host({.urgentReserve = 0});
-        host.addTarget("t1", 1);
+        FakeRouterHost host({.urgentReserve = 0});
+        host.setTarget("t1", 1);
         // One generation ends every two seconds, and six more wait.
-        auto running = only<StartAttempt>(host.open("g0")).at(0);
+        auto running = actionsOfType<StartAttempt>(host.open("g0")).at(0);
         for (int it = 1; it <= 6; ++it)
             host.open("g" + std::to_string(it));
         for (int it = 7; it <= 14; ++it) {
             host.now += absl::Seconds(2);
-            running = only<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)})).at(0);
+            running = actionsOfType<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)}))
+                          .at(0);
             host.open("g" + std::to_string(it));
         }
         RequestOpened request{.generation = GenerationId("short"),
                               .workspace = WorkspaceName("kochi"),
                               .service = ServiceName("digest"),
                               .deadline = host.now + absl::Seconds(5)};
-        const Error error = only<RefuseGeneration>(host.feed(request)).at(0).error;
+        const Error error = actionsOfType<RefuseGeneration>(host.feed(request)).at(0).error;
         CPPUNIT_ASSERT(error.code == ErrorCode::Overloaded);
         CPPUNIT_ASSERT(error.retryAfter > absl::Seconds(3) && error.retryAfter < absl::Seconds(20));
         request.deadline = host.now + absl::Seconds(60);
-        CPPUNIT_ASSERT(only<RefuseGeneration>(host.feed(request)).empty());
+        CPPUNIT_ASSERT(actionsOfType<RefuseGeneration>(host.feed(request)).empty());
     }
 
-    void usesSuspectOnlyWhenNothingElse()
+    void usesSuspectTargetOnlyWhenNoLiveOneIsLeft()
     {
-        FakeHost host({.urgentReserve = 0});
-        host.addTarget("t1", 2, TargetPhase::Suspect);
-        host.addTarget("t2", 1);
-        CPPUNIT_ASSERT(only<StartAttempt>(host.open("g1")).at(0).target == TargetId("t2"));
-        CPPUNIT_ASSERT(!starts(host.open("g2")));
-        auto moved = only<StartAttempt>(
+        FakeRouterHost host({.urgentReserve = 0});
+        host.setTarget("t1", 2, TargetPhase::Suspect);
+        host.setTarget("t2", 1);
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(host.open("g1")).at(0).target == TargetId("t2"));
+        CPPUNIT_ASSERT(!startsAttempt(host.open("g2")));
+        auto moved = actionsOfType<StartAttempt>(
             host.feed(TargetChanged{TargetId("t2"), ServiceName("digest"), {}, 1, TargetPhase::Leaving}));
         CPPUNIT_ASSERT(moved.at(0).target == TargetId("t1"));
     }
 
-    void ignoresOlderConfiguration()
+    void ignoresOlderConfigurationVersion()
     {
-        FakeHost host;
-        host.addTarget("t1");
+        FakeRouterHost host;
+        host.setTarget("t1");
         FleetConfiguration older = host.configuration;
         older.services.clear();
-        host.configure();
+        host.applyConfiguration();
         host.feed(ConfigurationChanged{older});
-        CPPUNIT_ASSERT(starts(host.open("g")));
+        CPPUNIT_ASSERT(startsAttempt(host.open("g")));
     }
 
-    void handsWaitersOverAtDrain()
+    void handsOverQueuedRequestsOnDrain()
     {
-        FakeHost host({.urgentReserve = 0});
-        host.addTarget("t1", 1);
+        FakeRouterHost host({.urgentReserve = 0});
+        host.setTarget("t1", 1);
         host.open("g1");
         host.open("g2");
-        auto handed = only<HandOverGeneration>(host.feed(DrainStarted{}));
+        auto handed = actionsOfType<HandOverGeneration>(host.feed(DrainStarted{}));
         CPPUNIT_ASSERT(handed.size() == 1 && handed[0].generation == GenerationId("g2"));
         CPPUNIT_ASSERT(!host.router().isIdle());
     }
 
 private:
-    static bool starts(const RoutingActions &actions) { return !only<StartAttempt>(actions).empty(); }
-    static std::optional<ErrorCode> refusal(const RoutingActions &actions)
+    static bool startsAttempt(const RoutingActions &actions)
     {
-        auto refused = only<RefuseGeneration>(actions);
+        return !actionsOfType<StartAttempt>(actions).empty();
+    }
+    static std::optional<ErrorCode> refusalCode(const RoutingActions &actions)
+    {
+        auto refused = actionsOfType<RefuseGeneration>(actions);
         return refused.empty() ? std::nullopt : std::optional(refused[0].error.code);
     }
 };
--- a/Tests/LibRouting/TestEstimates.cpp
+++ b/Tests/LibRouting/TestEstimates.cpp
@@ -12,20 +12,20 @@
 class TestEstimates : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestEstimates);
-    CPPUNIT_TEST(gapsFollowTheEngine);
-    CPPUNIT_TEST(onePauseDoesNotBlind);
-    CPPUNIT_TEST(firstTokensScaleWithPrefill);
-    CPPUNIT_TEST(loadAddsOwnWorkSinceReport);
-    CPPUNIT_TEST(failuresInRowCoolDownLonger);
-    CPPUNIT_TEST(budgetBoundsRetriesButNotResumes);
-    CPPUNIT_TEST(sharesFollowDemand);
-    CPPUNIT_TEST(sharesBoundOvershoot);
-    CPPUNIT_TEST(affinityKeepsHeadsTogether);
-    CPPUNIT_TEST(pluginsAreRegistered);
+    CPPUNIT_TEST(tokenGapTailTracksEngineSpeed);
+    CPPUNIT_TEST(singlePauseRaisesTokenGapTailAtMostFourfold);
+    CPPUNIT_TEST(firstTokenTailScalesWithPrefillLength);
+    CPPUNIT_TEST(loadIncludesOwnAttemptsSinceReport);
+    CPPUNIT_TEST(consecutiveFailuresProlongCooldown);
+    CPPUNIT_TEST(retryBudgetAllowsMoreResumesThanRetries);
+    CPPUNIT_TEST(workspaceShareFollowsDemand);
+    CPPUNIT_TEST(workspaceSharesBoundOvershoot);
+    CPPUNIT_TEST(affinityMovesFewPromptsWhenTargetLeaves);
+    CPPUNIT_TEST(builtInPluginsAreRegistered);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void gapsFollowTheEngine()
+    void tokenGapTailTracksEngineSpeed()
     {
         TokenLatencyEstimator fast;
         TokenLatencyEstimator slow;
@@ -38,7 +38,7 @@
         CPPUNIT_ASSERT(slow.interTokenLatencyTail() < absl::Seconds(2));
     }
 
-    void onePauseDoesNotBlind()
+    void singlePauseRaisesTokenGapTailAtMostFourfold()
     {
         TokenLatencyEstimator gaps;
         for (int it = 0; it < 200; ++it)
@@ -48,7 +48,7 @@
         CPPUNIT_ASSERT(gaps.interTokenLatencyTail() <= before * 4);
     }
 
-    void firstTokensScaleWithPrefill()
+    void firstTokenTailScalesWithPrefillLength()
     {
         TokenLatencyEstimator gaps;
         for (int it = 0; it < 50; ++it)
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT(gaps.timeToFirstTokenTail(0) < absl::Milliseconds(800));
     }
 
-    void loadAddsOwnWorkSinceReport()
+    void loadIncludesOwnAttemptsSinceReport()
     {
         const absl::Time t0 = absl::FromUnixSeconds(1000);
         TargetState target(TargetChanged{.target = TargetId("t"), .slots = 8});
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(1), target.load(t0 + absl::Seconds(60)));
     }
 
-    void failuresInRowCoolDownLonger()
+    void consecutiveFailuresProlongCooldown()
     {
         absl::Time now = absl::FromUnixSeconds(1000);
         TargetState target(TargetChanged{.target = TargetId("t"), .slots = 8});
@@ -88,29 +88,29 @@
         CPPUNIT_ASSERT(!target.isCoolingDown(now));
     }
 
-    void budgetBoundsRetriesButNotResumes()
+    void retryBudgetAllowsMoreResumesThanRetries()
     {
         RetryBudget budget;
         const absl::Time now = absl::FromUnixSeconds(1000);
         for (int it = 0; it < 100; ++it)
             budget.noteFirstAttempt(now);
-        CPPUNIT_ASSERT_EQUAL(15, taken(budget, RetryBudget::Kind::Retry, now));
-        CPPUNIT_ASSERT_EQUAL(40, taken(budget, RetryBudget::Kind::Resume, now));
-        CPPUNIT_ASSERT_EQUAL(0, taken(budget, RetryBudget::Kind::Hedge, now));
-        CPPUNIT_ASSERT_EQUAL(5, taken(budget, RetryBudget::Kind::Retry, now + absl::Seconds(31)));
+        CPPUNIT_ASSERT_EQUAL(15, takeAll(budget, RetryBudget::Kind::Retry, now));
+        CPPUNIT_ASSERT_EQUAL(40, takeAll(budget, RetryBudget::Kind::Resume, now));
+        CPPUNIT_ASSERT_EQUAL(0, takeAll(budget, RetryBudget::Kind::Hedge, now));
+        CPPUNIT_ASSERT_EQUAL(5, takeAll(budget, RetryBudget::Kind::Retry, now + absl::Seconds(31)));
     }
 
-    void sharesFollowDemand()
+    void workspaceShareFollowsDemand()
     {
         const WorkspaceSpec spec{.name = WorkspaceName("w"), .maxGenerations = 100};
         WorkspaceShares shares;
-        CPPUNIT_ASSERT_EQUAL(100, admitted(shares, spec));
-        WorkspaceShares small;
-        small.setRemoteDemand(spec.name, 80, 5);
-        CPPUNIT_ASSERT(admitted(small, spec) <= 2);
+        CPPUNIT_ASSERT_EQUAL(100, admitAll(shares, spec));
+        WorkspaceShares limited;
+        limited.setRemoteDemand(spec.name, 80, 5);
+        CPPUNIT_ASSERT(admitAll(limited, spec) <= 2);
     }
 
-    void sharesBoundOvershoot()
+    void workspaceSharesBoundOvershoot()
     {
         // Ten routers with equal demand all admit as much as they may between two reports.
         constexpr std::uint32_t routers = 10;
@@ -121,12 +121,12 @@
             for (int own = 0; own < 8; ++own)
                 it.add(spec.name);
             it.setRemoteDemand(spec.name, 8 * (routers - 1), routers);
-            total += 8 + admitted(it, spec);
+            total += 8 + admitAll(it, spec);
         }
         CPPUNIT_ASSERT(total >= 100 && total <= 100 + static_cast<int>(routers) + 3);
     }
 
-    void affinityKeepsHeadsTogether()
+    void affinityMovesFewPromptsWhenTargetLeaves()
     {
         AffinitySelector selector;
         std::vector<TargetCandidate> candidates(20);
@@ -143,12 +143,12 @@
         // Only the heads of the target that left move: about 1 in 20.
         CPPUNIT_ASSERT(moved > 20 && moved < 90);
         const PromptPrefixHash head(7);
-        const std::size_t home = selector.select(candidates, head);
-        candidates[home].load = 16;
-        CPPUNIT_ASSERT(selector.select(candidates, head) != home);
+        const std::size_t preferred = selector.select(candidates, head);
+        candidates[preferred].load = 16;
+        CPPUNIT_ASSERT(selector.select(candidates, head) != preferred);
     }
 
-    void pluginsAreRegistered()
+    void builtInPluginsAreRegistered()
     {
         SeededRandom random(1);
         const RoutingState state(random);
@@ -158,7 +158,7 @@
     }
 
 private:
-    static int taken(RetryBudget &budget, RetryBudget::Kind kind, absl::Time now)
+    static int takeAll(RetryBudget &budget, RetryBudget::Kind kind, absl::Time now)
     {
         constexpr std::uint32_t running = 40;
         int n = 0;
@@ -167,7 +167,7 @@
         return n;
     }
 
-    static int admitted(WorkspaceShares &shares, const WorkspaceSpec &spec)
+    static int admitAll(WorkspaceShares &shares, const WorkspaceSpec &spec)
     {
         int n = 0;
         for (; shares.mayAdmit(spec); ++n)
--- a/Tests/LibRouting/TestRouter.cpp
+++ b/Tests/LibRouting/TestRouter.cpp
@@ -1,6 +1,6 @@
 // The router's decisions one by one: delivery, resume, race, re-attach, drain and configuration.
 
-#include "FakeHost.h"
+#include "FakeRouterHost.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,242 +10,250 @@
 class TestRouter : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestRouter);
-    CPPUNIT_TEST(deliversAndCompletes);
-    CPPUNIT_TEST(resumesAtOnceAfterLoss);
-    CPPUNIT_TEST(ignoresCancelledAttempt);
-    CPPUNIT_TEST(racesSilentAttemptAndLetsItWin);
+    CPPUNIT_TEST(deliversTokensAndCompletes);
+    CPPUNIT_TEST(resumesAtOnceAfterStreamLoss);
+    CPPUNIT_TEST(ignoresEventsOfFailedAttempt);
+    CPPUNIT_TEST(cancelsHedgedAttemptWhenSilentOneContinues);
     CPPUNIT_TEST(replacesAttemptThatSkipsToken);
-    CPPUNIT_TEST(refusesRejectedRequest);
-    CPPUNIT_TEST(completesWhenOnlyEndIsMissing);
-    CPPUNIT_TEST(reattachesThenStartsAnew);
-    CPPUNIT_TEST(staysWithModelOfItsOpening);
+    CPPUNIT_TEST(refusesRequestThatEngineRejects);
+    CPPUNIT_TEST(completesWhenOnlyFinishEventIsLost);
+    CPPUNIT_TEST(startsNewAttemptWhenReattachFails);
+    CPPUNIT_TEST(refusesToResumeOnAnotherModelVersion);
     CPPUNIT_TEST(handsOverAfterDrainLimit);
-    CPPUNIT_TEST(countsNoSilenceWhileNotRunning);
-    CPPUNIT_TEST(boundsFruitlessAttempts);
-    CPPUNIT_TEST(reattachesOnlyWithinTheService);
-    CPPUNIT_TEST(restartNeverReattaches);
-    CPPUNIT_TEST(thriftDelaysTheRace);
-    CPPUNIT_TEST(prefersTargetWithThePrefix);
+    CPPUNIT_TEST(ignoresSilenceWhileRouterWasSuspended);
+    CPPUNIT_TEST(limitsAttemptsWithoutProgress);
+    CPPUNIT_TEST(reattachesOnlyToTargetOfSameService);
+    CPPUNIT_TEST(restartPolicyNeverReattaches);
+    CPPUNIT_TEST(thriftDelaysHedgedAttempt);
+    CPPUNIT_TEST(prefersTargetWithCachedPrefix);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void deliversAndCompletes()
+    void deliversTokensAndCompletes()
     {
-        FakeHost host;
-        host.addTarget("t1");
-        auto started = only<StartAttempt>(host.open("g"));
+        FakeRouterHost host;
+        host.setTarget("t1");
+        auto started = actionsOfType<StartAttempt>(host.open("g"));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), started.size());
         host.feed(AttemptStarted{started[0].attempt, EngineStreamId("s")});
-        auto delivered = only<DeliverToken>(host.bring(started[0].attempt, 0, 3));
+        auto delivered = actionsOfType<DeliverToken>(host.feedTokens(started[0].attempt, 0, 3));
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), delivered.size());
         CPPUNIT_ASSERT_EQUAL(std::string("s"), delivered[2].stream.value());
-        auto done = only<CompleteGeneration>(host.feed(AttemptFinished{started[0].attempt, TokenOffset(3)}));
+        auto done =
+            actionsOfType<CompleteGeneration>(host.feed(AttemptFinished{started[0].attempt, TokenOffset(3)}));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), done.size());
         CPPUNIT_ASSERT(host.router().demand().empty());
     }
 
-    void resumesAtOnceAfterLoss()
+    void resumesAtOnceAfterStreamLoss()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 3);
-        auto again = only<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), again.size());
-        CPPUNIT_ASSERT(again[0].target != first.target);
-        CPPUNIT_ASSERT(again[0].from == TokenOffset(3));
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 3);
+        auto resumed =
+            actionsOfType<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), resumed.size());
+        CPPUNIT_ASSERT(resumed[0].target != first.target);
+        CPPUNIT_ASSERT(resumed[0].from == TokenOffset(3));
     }
 
-    void ignoresCancelledAttempt()
+    void ignoresEventsOfFailedAttempt()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 3);
-        auto again = only<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
-        CPPUNIT_ASSERT(host.bring(first.attempt, 3).empty());
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 3);
+        auto resumed =
+            actionsOfType<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
+        CPPUNIT_ASSERT(host.feedTokens(first.attempt, 3).empty());
         CPPUNIT_ASSERT(host.feed(AttemptFinished{first.attempt, TokenOffset(3)}).empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<DeliverToken>(host.bring(again[0].attempt, 3)).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                             actionsOfType<DeliverToken>(host.feedTokens(resumed[0].attempt, 3)).size());
     }
 
-    void racesSilentAttemptAndLetsItWin()
+    void cancelsHedgedAttemptWhenSilentOneContinues()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 20);
-        auto race = only<StartAttempt>(host.pass(absl::Seconds(2)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), race.size());
-        auto woke = host.bring(first.attempt, 20);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<DeliverToken>(woke).size());
-        auto cancelled = only<CancelAttempt>(woke);
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 20);
+        auto hedge = actionsOfType<StartAttempt>(host.advance(absl::Seconds(2)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), hedge.size());
+        auto afterPause = host.feedTokens(first.attempt, 20);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), actionsOfType<DeliverToken>(afterPause).size());
+        auto cancelled = actionsOfType<CancelAttempt>(afterPause);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), cancelled.size());
-        CPPUNIT_ASSERT(cancelled[0].attempt == race[0].attempt);
-        CPPUNIT_ASSERT(host.bring(race[0].attempt, 20).empty());
+        CPPUNIT_ASSERT(cancelled[0].attempt == hedge[0].attempt);
+        CPPUNIT_ASSERT(host.feedTokens(hedge[0].attempt, 20).empty());
     }
 
     void replacesAttemptThatSkipsToken()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 3);
-        auto actions = host.bring(first.attempt, 4);
-        CPPUNIT_ASSERT(only<DeliverToken>(actions).empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<CancelAttempt>(actions).size());
-        CPPUNIT_ASSERT(only<StartAttempt>(actions).at(0).from == TokenOffset(3));
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 3);
+        auto actions = host.feedTokens(first.attempt, 4);
+        CPPUNIT_ASSERT(actionsOfType<DeliverToken>(actions).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), actionsOfType<CancelAttempt>(actions).size());
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(actions).at(0).from == TokenOffset(3));
     }
 
-    void refusesRejectedRequest()
+    void refusesRequestThatEngineRejects()
     {
-        FakeHost host;
-        const auto first = start(host);
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
         auto actions = host.feed(AttemptFailed{first.attempt, AttemptFailure::RequestRejected});
-        CPPUNIT_ASSERT(only<StartAttempt>(actions).empty());
-        CPPUNIT_ASSERT(only<RefuseGeneration>(actions).at(0).error.code == ErrorCode::InvalidRequest);
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(actions).empty());
+        CPPUNIT_ASSERT(actionsOfType<RefuseGeneration>(actions).at(0).error.code
+                       == ErrorCode::InvalidRequest);
     }
 
-    void completesWhenOnlyEndIsMissing()
+    void completesWhenOnlyFinishEventIsLost()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 1000);
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 1000);
         auto actions = host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost});
-        CPPUNIT_ASSERT(only<CompleteGeneration>(actions).at(0).reason == FinishReason::Length);
+        CPPUNIT_ASSERT(actionsOfType<CompleteGeneration>(actions).at(0).reason == FinishReason::Length);
     }
 
-    void reattachesThenStartsAnew()
+    void startsNewAttemptWhenReattachFails()
     {
-        FakeHost host;
-        host.addTarget("t1", 4, TargetPhase::Leaving);
-        host.addTarget("t2");
+        FakeRouterHost host;
+        host.setTarget("t1", 4, TargetPhase::Leaving);
+        host.setTarget("t2");
         const ResumePoint point{TargetId("t1"), EngineStreamId("s"), TokenOffset(2), TokenOffset(5)};
-        auto reattached = only<ReattachAttempt>(host.comeBack("g", point));
+        auto reattached = actionsOfType<ReattachAttempt>(host.reopen("g", point));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), reattached.size());
         CPPUNIT_ASSERT(reattached[0].from == TokenOffset(5));
         auto actions = host.feed(AttemptFailed{reattached[0].attempt, AttemptFailure::StreamUnknown});
-        auto started = only<StartAttempt>(actions).at(0);
+        auto started = actionsOfType<StartAttempt>(actions).at(0);
         CPPUNIT_ASSERT(started.target == TargetId("t2") && started.from == TokenOffset(5));
     }
 
-    void staysWithModelOfItsOpening()
+    void refusesToResumeOnAnotherModelVersion()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 3);
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 3);
         host.configuration.services[ServiceName("digest")].modelVersion = "2";
-        CPPUNIT_ASSERT(host.configure().empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<DeliverToken>(host.bring(first.attempt, 3)).size());
+        CPPUNIT_ASSERT(host.applyConfiguration().empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                             actionsOfType<DeliverToken>(host.feedTokens(first.attempt, 3)).size());
         auto actions = host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost});
-        CPPUNIT_ASSERT(only<StartAttempt>(actions).empty());
-        CPPUNIT_ASSERT(only<RefuseGeneration>(actions).at(0).error.code == ErrorCode::AnswerLost);
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(actions).empty());
+        CPPUNIT_ASSERT(actionsOfType<RefuseGeneration>(actions).at(0).error.code == ErrorCode::AnswerLost);
     }
 
     void handsOverAfterDrainLimit()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 3);
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 3);
         CPPUNIT_ASSERT(host.feed(DrainStarted{}).empty());
-        auto refused = only<RefuseGeneration>(host.open("late")).at(0);
+        auto refused = actionsOfType<RefuseGeneration>(host.open("late")).at(0);
         CPPUNIT_ASSERT(refused.error.code == ErrorCode::Draining && refused.error.retryAfter);
         for (std::uint64_t it = 3; host.now < absl::FromUnixSeconds(1029); ++it)
-            host.bring(first.attempt, it);
-        auto actions = host.pass(absl::Seconds(2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<HandOverGeneration>(actions).size());
-        CPPUNIT_ASSERT(only<CancelAttempt>(actions).empty());
+            host.feedTokens(first.attempt, it);
+        auto actions = host.advance(absl::Seconds(2));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), actionsOfType<HandOverGeneration>(actions).size());
+        CPPUNIT_ASSERT(actionsOfType<CancelAttempt>(actions).empty());
         CPPUNIT_ASSERT(host.router().isIdle());
     }
 
-    void countsNoSilenceWhileNotRunning()
+    void ignoresSilenceWhileRouterWasSuspended()
     {
-        FakeHost host;
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 20);
+        FakeRouterHost host;
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 20);
         host.now += absl::Seconds(60);
-        CPPUNIT_ASSERT(only<StartAttempt>(host.feed(Tick{})).empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), only<DeliverToken>(host.bring(first.attempt, 20)).size());
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(host.feed(Tick{})).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                             actionsOfType<DeliverToken>(host.feedTokens(first.attempt, 20)).size());
     }
 
-    void boundsFruitlessAttempts()
+    void limitsAttemptsWithoutProgress()
     {
-        FakeHost host({.retryBudget = 10});
-        const auto first = start(host);
-        auto other = only<StartAttempt>(host.open("h")).at(0);
-        host.bring(first.attempt, 0, 3);
-        CPPUNIT_ASSERT_EQUAL(3, fail(host, other.attempt));
-        CPPUNIT_ASSERT_EQUAL(6, fail(host, first.attempt));
+        FakeRouterHost host({.retryBudget = 10});
+        const auto first = startGeneration(host);
+        auto other = actionsOfType<StartAttempt>(host.open("h")).at(0);
+        host.feedTokens(first.attempt, 0, 3);
+        CPPUNIT_ASSERT_EQUAL(3, failUntilRefused(host, other.attempt));
+        CPPUNIT_ASSERT_EQUAL(6, failUntilRefused(host, first.attempt));
         CPPUNIT_ASSERT(host.router().demand().empty());
     }
 
-    void reattachesOnlyWithinTheService()
+    void reattachesOnlyToTargetOfSameService()
     {
-        FakeHost host;
-        host.addTarget("t1");
+        FakeRouterHost host;
+        host.setTarget("t1");
         host.feed(TargetChanged{TargetId("t2"), ServiceName("other"), FailureDomain("a"), 4});
         const ResumePoint point{TargetId("t2"), EngineStreamId("s"), TokenOffset(0), TokenOffset(5)};
-        auto actions = host.comeBack("g", point);
-        CPPUNIT_ASSERT(only<ReattachAttempt>(actions).empty());
-        CPPUNIT_ASSERT(only<StartAttempt>(actions).at(0).target == TargetId("t1"));
+        auto actions = host.reopen("g", point);
+        CPPUNIT_ASSERT(actionsOfType<ReattachAttempt>(actions).empty());
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(actions).at(0).target == TargetId("t1"));
     }
 
-    void restartNeverReattaches()
+    void restartPolicyNeverReattaches()
     {
-        FakeHost host({.resume = {.policy = "restart"}});
-        host.addTarget("t1");
+        FakeRouterHost host({.resume = {.policy = "restart"}});
+        host.setTarget("t1");
         const ResumePoint point{TargetId("t1"), EngineStreamId("s"), TokenOffset(0), TokenOffset(5)};
-        CPPUNIT_ASSERT(only<StartAttempt>(host.comeBack("g", point)).at(0).from == TokenOffset(5));
+        CPPUNIT_ASSERT(actionsOfType<StartAttempt>(host.reopen("g", point)).at(0).from == TokenOffset(5));
     }
 
-    void thriftDelaysTheRace()
+    void thriftDelaysHedgedAttempt()
     {
-        CPPUNIT_ASSERT(raceDelay(0) < absl::Milliseconds(600));
-        CPPUNIT_ASSERT(raceDelay(1) > absl::Milliseconds(1500));
-        CPPUNIT_ASSERT(raceDelay(1) < absl::Seconds(3));
+        CPPUNIT_ASSERT(hedgeDelay(0) < absl::Milliseconds(600));
+        CPPUNIT_ASSERT(hedgeDelay(1) > absl::Milliseconds(1500));
+        CPPUNIT_ASSERT(hedgeDelay(1) < absl::Seconds(3));
     }
 
-    void prefersTargetWithThePrefix()
+    void prefersTargetWithCachedPrefix()
     {
-        FakeHost host({.resume = {.thrift = 1}});
-        const auto first = start(host);
+        FakeRouterHost host({.resume = {.thrift = 1}});
+        const auto first = startGeneration(host);
         for (int it = 3; it <= 9; ++it)
-            host.addTarget("t" + std::to_string(it));
+            host.setTarget("t" + std::to_string(it));
         host.feed(CacheReported{TargetId("t7"), {PromptPrefixHash()}, {}});
-        host.bring(first.attempt, 0, 3);
-        const bool wasThere = first.target == TargetId("t7");
-        auto again = only<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
-        CPPUNIT_ASSERT(wasThere || again.at(0).target == TargetId("t7"));
+        host.feedTokens(first.attempt, 0, 3);
+        const bool ranOnCachingTarget = first.target == TargetId("t7");
+        auto resumed =
+            actionsOfType<StartAttempt>(host.feed(AttemptFailed{first.attempt, AttemptFailure::StreamLost}));
+        CPPUNIT_ASSERT(ranOnCachingTarget || resumed.at(0).target == TargetId("t7"));
     }
 
 private:
     // Fails the attempt and all that follow it; counts them up to the refusal.
-    static int fail(FakeHost &host, AttemptId attempt)
+    static int failUntilRefused(FakeRouterHost &host, AttemptId attempt)
     {
         for (int n = 1; n < 100; ++n) {
             auto actions = host.feed(AttemptFailed{attempt, AttemptFailure::NotStarted});
-            if (!only<RefuseGeneration>(actions).empty())
+            if (!actionsOfType<RefuseGeneration>(actions).empty())
                 return n;
-            auto next = only<StartAttempt>(actions);
+            auto next = actionsOfType<StartAttempt>(actions);
             if (next.empty())
-                next = only<StartAttempt>(host.pass(absl::Seconds(3)));
+                next = actionsOfType<StartAttempt>(host.advance(absl::Seconds(3)));
             attempt = next.at(0).attempt;
         }
         return 100;
     }
 
     // From an engine's last token to the second attempt.
-    static absl::Duration raceDelay(double thrift)
+    static absl::Duration hedgeDelay(double thrift)
     {
-        FakeHost host({.resume = {.thrift = thrift}});
-        const auto first = start(host);
-        host.bring(first.attempt, 0, 100);
-        const absl::Time silentSince = host.now;
-        while (only<StartAttempt>(host.pass(absl::Milliseconds(10))).empty()) { }
-        return host.now - silentSince;
+        FakeRouterHost host({.resume = {.thrift = thrift}});
+        const auto first = startGeneration(host);
+        host.feedTokens(first.attempt, 0, 100);
+        const absl::Time lastTokenAt = host.now;
+        while (actionsOfType<StartAttempt>(host.advance(absl::Milliseconds(10))).empty()) { }
+        return host.now - lastTokenAt;
     }
 
     // Two targets and a generation "g" that runs on one of them.
-    static StartAttempt start(FakeHost &host)
+    static StartAttempt startGeneration(FakeRouterHost &host)
     {
-        host.addTarget("t1");
-        host.addTarget("t2");
-        auto started = only<StartAttempt>(host.open("g")).at(0);
+        host.setTarget("t1");
+        host.setTarget("t2");
+        auto started = actionsOfType<StartAttempt>(host.open("g")).at(0);
         host.feed(AttemptStarted{started.attempt, EngineStreamId("s")});
         return started;
     }
--- a/Tests/LibRouting/TestRouterUnderFailure.cpp
+++ b/Tests/LibRouting/TestRouterUnderFailure.cpp
@@ -1,7 +1,7 @@
 // Thousands of seeded event orders with engines, routers and callers that fail. WISTERIA_SEED replays one,
 // WISTERIA_ORDERS sets how many are tried.
 
-#include "FakeWorld.h"
+#include "FakeRoutingCluster.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,47 +14,47 @@
 class TestRouterUnderFailure : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestRouterUnderFailure);
-    CPPUNIT_TEST(keepsPromisesInEveryOrder);
+    CPPUNIT_TEST(keepsInvariantsInEveryEventOrder);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void keepsPromisesInEveryOrder()
+    void keepsInvariantsInEveryEventOrder()
     {
         const char *seed = std::getenv("WISTERIA_SEED");
         const char *orders = std::getenv("WISTERIA_ORDERS");
         const std::uint64_t first = seed ? std::stoull(seed) : 1;
         const std::uint64_t count = seed ? 1 : orders ? std::stoull(orders) : 3000;
         for (std::uint64_t it = first; it < first + count; ++it)
-            runOne(it);
-        std::cerr << "orders " << count << ", faults " << m_sum.faults << ", events " << m_sum.events
-                  << ", completed " << m_sum.completed << ", refused " << m_sum.refused << ", left "
-                  << m_sum.left << ", attempts " << m_sum.attempts << '\n';
-        for (const auto &[name, n] : m_sum.refusals)
+            runSeed(it);
+        std::cerr << "orders " << count << ", faults " << m_totals.faults << ", events " << m_totals.events
+                  << ", completed " << m_totals.completed << ", refused " << m_totals.refused << ", left "
+                  << m_totals.abandoned << ", attempts " << m_totals.attempts << '\n';
+        for (const auto &[name, n] : m_totals.refusals)
             std::cerr << "  " << name << " " << n << '\n';
         // A world in which nearly all callers are refused would prove little.
-        CPPUNIT_ASSERT(seed || m_sum.completed > 3 * m_sum.refused);
+        CPPUNIT_ASSERT(seed || m_totals.completed > 3 * m_totals.refused);
     }
 
 private:
-    void runOne(std::uint64_t seed)
+    void runSeed(std::uint64_t seed)
     {
-        FakeWorld world(seed);
+        FakeRoutingCluster cluster(seed);
         try {
-            world.run();
-        } catch (const FakeViolation &violation) {
+            cluster.run();
+        } catch (const RoutingInvariantViolation &violation) {
             CPPUNIT_FAIL("WISTERIA_SEED=" + std::to_string(seed) + ": " + violation.what());
         }
-        m_sum.completed += world.counts().completed;
-        m_sum.refused += world.counts().refused;
-        m_sum.left += world.counts().left;
-        m_sum.attempts += world.counts().attempts;
-        m_sum.faults += world.counts().faults;
-        m_sum.events += world.counts().events;
-        for (const auto &[name, n] : world.counts().refusals)
-            m_sum.refusals[name] += n;
+        m_totals.completed += cluster.counts().completed;
+        m_totals.refused += cluster.counts().refused;
+        m_totals.abandoned += cluster.counts().abandoned;
+        m_totals.attempts += cluster.counts().attempts;
+        m_totals.faults += cluster.counts().faults;
+        m_totals.events += cluster.counts().events;
+        for (const auto &[name, n] : cluster.counts().refusals)
+            m_totals.refusals[name] += n;
     }
 
-    FakeWorld::Counts m_sum;
+    FakeRoutingCluster::Counts m_totals;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TestRouterUnderFailure);
--- a/Tests/LibRouting/TestSpreadChoice.cpp
+++ b/Tests/LibRouting/TestSpreadChoice.cpp
@@ -12,7 +12,7 @@
 
 namespace detail {
 
-constexpr int spreadGenerations = 200;
+constexpr int generationCount = 200;
 
 std::vector<TargetCandidate> sixTargets()
 {
@@ -28,11 +28,11 @@
 }
 
 std::map<std::size_t, int> countChoices(const std::vector<TargetCandidate> &targets,
-                                        const std::optional<FailureDomain> &lost)
+                                        const std::optional<FailureDomain> &lostDomain)
 {
     std::map<std::size_t, int> out;
-    for (int n = 0; n < spreadGenerations; ++n)
-        ++out[selectSpreadTarget(targets, GenerationId(absl::StrCat("g", n)), lost)];
+    for (int n = 0; n < generationCount; ++n)
+        ++out[selectSpreadTarget(targets, GenerationId(absl::StrCat("g", n)), lostDomain)];
     return out;
 }
 
@@ -41,44 +41,44 @@
 class TestSpreadChoice : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestSpreadChoice);
-    CPPUNIT_TEST(holderOfTheHeadDoesNotTakeAll);
-    CPPUNIT_TEST(lostDomainIsAvoided);
-    CPPUNIT_TEST(lostDomainIsTakenWhenNoOtherIsLeft);
-    CPPUNIT_TEST(fullTargetIsLastChoice);
+    CPPUNIT_TEST(targetWithCachedHeadDoesNotTakeAll);
+    CPPUNIT_TEST(avoidsLostDomain);
+    CPPUNIT_TEST(usesLostDomainWhenNoOtherIsLeft);
+    CPPUNIT_TEST(avoidsFullTargets);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void holderOfTheHeadDoesNotTakeAll()
+    void targetWithCachedHeadDoesNotTakeAll()
     {
         auto targets = detail::sixTargets();
         targets[1].hasCachedPrefix = true;
         const auto counts = detail::countChoices(targets, std::nullopt);
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, counts.size());
-        CPPUNIT_ASSERT(counts.at(1) < detail::spreadGenerations / 2);
+        CPPUNIT_ASSERT(counts.at(1) < detail::generationCount / 2);
     }
 
-    void lostDomainIsAvoided()
+    void avoidsLostDomain()
     {
         const auto counts = detail::countChoices(detail::sixTargets(), FailureDomain("d0"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, counts.size());
         CPPUNIT_ASSERT(!counts.contains(0) && !counts.contains(3));
     }
 
-    void lostDomainIsTakenWhenNoOtherIsLeft()
+    void usesLostDomainWhenNoOtherIsLeft()
     {
         std::vector<TargetCandidate> targets{detail::sixTargets()[0]};
         CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                              selectSpreadTarget(targets, GenerationId("g"), FailureDomain("d0")));
     }
 
-    void fullTargetIsLastChoice()
+    void avoidsFullTargets()
     {
         auto targets = detail::sixTargets();
         for (auto &it : targets)
             it.load = it.slots;
         targets[2].load = 0;
         const auto counts = detail::countChoices(targets, std::nullopt);
-        CPPUNIT_ASSERT(counts.at(2) > detail::spreadGenerations / 2);
+        CPPUNIT_ASSERT(counts.at(2) > detail::generationCount / 2);
     }
 };
 
