--- a/Libraries/LibLedger/CallLedger.cpp
+++ b/Libraries/LibLedger/CallLedger.cpp
@@ -11,10 +11,10 @@
 
 namespace detail {
 
-class LedgerImplementation final : public CallLedger
+class CallLedgerImplementation final : public CallLedger
 {
 public:
-    LedgerImplementation(const RouterId &self, Incarnation incarnation, RandomSource &random)
+    CallLedgerImplementation(const RouterId &self, Incarnation incarnation, RandomSource &random)
         : m_claimed(self, incarnation, random), m_ticketed(self, incarnation, random)
     {
     }
@@ -22,7 +22,7 @@
     LedgerActions handle(const LedgerEvent &event, absl::Time now) override
     {
         LedgerActions out;
-        std::visit([&](const auto &it) { take(it, now, out); }, event);
+        std::visit([&](const auto &it) { handleEvent(it, now, out); }, event);
         return out;
     }
 
@@ -34,76 +34,77 @@
     bool isIdle() const override { return m_claimed.isIdle() && m_ticketed.isIdle(); }
 
 private:
-    void take(const CallReceived &event, absl::Time now, LedgerActions &out)
+    void handleEvent(const CallReceived &event, absl::Time now, LedgerActions &out)
     {
-        if (looksLikeTicket(event.key))
+        if (hasTicketPrefix(event.key))
             m_ticketed.receive(event, now, out);
         else
             m_claimed.receive(event, now, out);
     }
 
-    void take(const ClaimWritten &event, absl::Time now, LedgerActions &out)
+    void handleEvent(const ClaimWritten &event, absl::Time now, LedgerActions &out)
     {
         m_claimed.handleWritten(event, now, out);
     }
 
-    void take(const ClaimRead &event, absl::Time now, LedgerActions &out)
+    void handleEvent(const ClaimRead &event, absl::Time now, LedgerActions &out)
     {
         m_claimed.handleRead(event, now, out);
     }
 
-    void take(const TargetAnswered &event, absl::Time now, LedgerActions &out)
+    void handleEvent(const TargetAnswered &event, absl::Time now, LedgerActions &out)
     {
-        if (m_claimed.knows(event.call))
+        if (m_claimed.containsCall(event.call))
             m_claimed.handleTargetAnswer(event, out);
         else
             m_ticketed.handleTargetAnswer(event, now, out);
     }
 
-    void take(const DispatchFailed &event, absl::Time now, LedgerActions &out)
+    void handleEvent(const DispatchFailed &event, absl::Time now, LedgerActions &out)
     {
-        if (m_claimed.knows(event.call))
+        if (m_claimed.containsCall(event.call))
             m_claimed.handleDispatchFailure(event, now, out);
         else
             m_ticketed.handleDispatchFailure(event, now, out);
     }
 
-    void take(const OwnerAnswered &event, absl::Time, LedgerActions &out)
+    void handleEvent(const OwnerAnswered &event, absl::Time, LedgerActions &out)
     {
-        if (m_claimed.knows(event.call))
+        if (m_claimed.containsCall(event.call))
             m_claimed.handleOwnerAnswer(event, out);
         else
             m_ticketed.handleOwnerAnswer(event, out);
     }
 
-    void take(const LedgerFreshnessChanged &event, absl::Time, LedgerActions &)
+    void handleEvent(const LedgerConfigurationFreshnessChanged &event, absl::Time, LedgerActions &)
     {
-        m_freshness = event.fresh ? NewCalls::Dispatched : NewCalls::RefusedAsStale;
-        setNewCalls();
+        m_freshnessPolicy = event.fresh ? NewCallPolicy::Admit : NewCallPolicy::RejectAsStale;
+        setNewCallPolicy();
     }
 
-    void take(const LedgerDrainStarted &, absl::Time, LedgerActions &)
+    void handleEvent(const LedgerDrainStarted &, absl::Time, LedgerActions &)
     {
         m_isDraining = true;
-        setNewCalls();
+        setNewCallPolicy();
     }
 
     // A stale configuration goes before a drain, since it also holds back calls that were claimed already.
-    void setNewCalls()
+    void setNewCallPolicy()
     {
-        const bool isOpen = m_freshness == NewCalls::Dispatched;
-        const NewCalls newCalls = isOpen && m_isDraining ? NewCalls::RefusedAsDraining : m_freshness;
-        m_claimed.setNewCalls(newCalls);
-        m_ticketed.setNewCalls(newCalls);
+        const bool isFresh = m_freshnessPolicy == NewCallPolicy::Admit;
+        const NewCallPolicy newCallPolicy =
+            isFresh && m_isDraining ? NewCallPolicy::RejectAsDraining : m_freshnessPolicy;
+        m_claimed.setNewCallPolicy(newCallPolicy);
+        m_ticketed.setNewCallPolicy(newCallPolicy);
     }
 
-    void take(const LedgerTick &, absl::Time now, LedgerActions &out)
+    void handleEvent(const LedgerTick &, absl::Time now, LedgerActions &out)
     {
         m_claimed.tick(now, out);
         m_ticketed.tick(now, out);
     }
 
-    NewCalls m_freshness{NewCalls::Dispatched};
+    NewCallPolicy m_freshnessPolicy{NewCallPolicy::Admit};
     bool m_isDraining{false};
     ClaimedCalls m_claimed;
     TicketedCalls m_ticketed;
@@ -114,7 +115,7 @@
 std::unique_ptr<CallLedger> CallLedger::create(const RouterId &self, Incarnation incarnation,
                                                RandomSource &random)
 {
-    return std::make_unique<detail::LedgerImplementation>(self, incarnation, random);
+    return std::make_unique<detail::CallLedgerImplementation>(self, incarnation, random);
 }
 
 } // namespace Wisteria
--- a/Libraries/LibLedger/ClaimedCalls.cpp
+++ b/Libraries/LibLedger/ClaimedCalls.cpp
@@ -12,9 +12,9 @@
 
 using detail::ClaimedCall;
 using detail::ClaimPhase;
-using detail::NewCalls;
+using detail::NewCallPolicy;
 using detail::Purpose;
-using detail::Recording;
+using detail::RecordingState;
 using detail::Waiter;
 
 namespace detail {
@@ -23,18 +23,18 @@
 {
     switch (call.phase) {
     case ClaimPhase::Uncertain:
-    case ClaimPhase::Sealed:
-    case ClaimPhase::Held:
+    case ClaimPhase::ClaimVoided:
+    case ClaimPhase::HeldUndispatched:
         return true;
     case ClaimPhase::Done:
-        return call.recording == Recording::Written;
+        return call.recordingState == RecordingState::Completed;
     default:
         return false;
     }
 }
 
 // Each part is preceded by its length, so that no two triples give one text.
-void appendPart(std::string &out, const std::string &part)
+void appendLengthPrefixed(std::string &out, const std::string &part)
 {
     absl::StrAppend(&out, part.size(), ":", part);
 }
@@ -44,9 +44,9 @@
 ClaimName claimName(const CallReceived &received)
 {
     std::string text;
-    detail::appendPart(text, received.workspace.value());
-    detail::appendPart(text, received.service.value());
-    detail::appendPart(text, received.key.value());
+    detail::appendLengthPrefixed(text, received.workspace.value());
+    detail::appendLengthPrefixed(text, received.service.value());
+    detail::appendLengthPrefixed(text, received.key.value());
     const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
     return ClaimName(
         absl::StrCat(absl::Hex(hash.high64, absl::kZeroPad16), absl::Hex(hash.low64, absl::kZeroPad16)));
@@ -59,7 +59,7 @@
 
 bool ClaimedCalls::isIdle() const
 {
-    return m_settled == m_calls.size();
+    return m_settledCount == m_calls.size();
 }
 
 absl::Time ClaimedCalls::nextWakeUp() const
@@ -69,52 +69,52 @@
 
 void ClaimedCalls::receive(const CallReceived &received, absl::Time now, LedgerActions &out)
 {
-    const bool mayRun = m_newCalls == NewCalls::Dispatched && received.deadline > now;
+    const bool mayRun = m_newCallPolicy == NewCallPolicy::Admit && received.deadline > now;
     const Waiter waiter{received.call, received.attempt, received.deadline,
-                        mayRun ? Purpose::Run : Purpose::SealOnly};
+                        mayRun ? Purpose::Run : Purpose::VoidOnly};
     auto it = m_calls.find(claimName(received));
     if (it == m_calls.end()) {
-        if (!refuseOnArrival(received, waiter, out))
+        if (!rejectOnArrival(received, waiter, out))
             create(received, waiter, now, out);
         return;
     }
     if (it->second.digest != received.digest)
-        return detail::answerCall(out, received.call,
-                                  detail::failedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                                       "the key came with another body before",
-                                                       std::nullopt));
+        return detail::answerCall(
+            out, received.call,
+            detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
+                                     "the key came with another body before", std::nullopt));
     join(it->second, waiter, now, out);
 }
 
 // Answers a call that must not start here and of which nothing is known here, where that needs no store
 // access.
-bool ClaimedCalls::refuseOnArrival(const CallReceived &received, const Waiter &waiter, LedgerActions &out)
+bool ClaimedCalls::rejectOnArrival(const CallReceived &received, const Waiter &waiter, LedgerActions &out)
 {
     // A later number is refused by a void, which also keeps the earlier ones from running.
     if (waiter.purpose == Purpose::Run || received.attempt > 1)
         return false;
-    const ErrorCode code = detail::refusalCode(m_newCalls);
+    const ErrorCode code = detail::rejectionCode(m_newCallPolicy);
     // A first request can have run nowhere else. One without a number can, and a void would end its key.
     const CallOutcome outcome = received.attempt == 1 ? CallOutcome::NotRun : CallOutcome::Unknown;
     detail::answerCall(
         out, waiter.call,
-        detail::failedAnswer(outcome, code, "refused on arrival", detail::elsewhereRetryAfter));
+        detail::makeFailedAnswer(outcome, code, "refused on arrival", detail::otherRouterRetryAfter));
     return true;
 }
 
 void ClaimedCalls::create(const CallReceived &received, Waiter waiter, absl::Time now, LedgerActions &out)
 {
-    const CallOutcome refused = received.attempt == 1 ? CallOutcome::NotRun : CallOutcome::Unknown;
-    if (!makeRoom())
+    const CallOutcome rejectedOutcome = received.attempt == 1 ? CallOutcome::NotRun : CallOutcome::Unknown;
+    if (!ensureCapacity())
         return detail::answerCall(
             out, waiter.call,
-            detail::failedAnswer(refused, ErrorCode::Overloaded, "too many calls are under way"));
+            detail::makeFailedAnswer(rejectedOutcome, ErrorCode::Overloaded, "too many calls are under way"));
     ClaimedCall &call = m_calls[claimName(received)];
     call.name = claimName(received);
     call.service = received.service;
     call.digest = received.digest;
     addWaiter(call, waiter);
-    proceedFromNone(call, now, out);
+    proceedWithoutClaim(call, now, out);
 }
 
 void ClaimedCalls::join(ClaimedCall &call, Waiter waiter, absl::Time now, LedgerActions &out)
@@ -123,9 +123,9 @@
     case ClaimPhase::Done:
     case ClaimPhase::Uncertain:
         return detail::answerCall(out, waiter.call, call.answer);
-    case ClaimPhase::Sealed:
-    case ClaimPhase::Held:
-        return joinSealed(call, waiter, now, out);
+    case ClaimPhase::ClaimVoided:
+    case ClaimPhase::HeldUndispatched:
+        return joinUndispatched(call, waiter, now, out);
     default:
         break;
     }
@@ -135,31 +135,32 @@
 }
 
 // A request meets a call that was given up before.
-void ClaimedCalls::joinSealed(ClaimedCall &call, const Waiter &waiter, absl::Time now, LedgerActions &out)
+void ClaimedCalls::joinUndispatched(ClaimedCall &call, const Waiter &waiter, absl::Time now,
+                                    LedgerActions &out)
 {
     // A void is final for requests without a number; an overtaken number must not undo what a later one
     // heard.
-    const bool isCovered = waiter.attempt <= call.sealedAttempt;
-    if (isCovered && (call.phase == ClaimPhase::Sealed || waiter.attempt > 0))
+    const bool isCovered = waiter.attempt <= call.highestVoidedAttempt;
+    if (isCovered && (call.phase == ClaimPhase::ClaimVoided || waiter.attempt > 0))
         return detail::answerCall(out, waiter.call, CallAnswer{CallOutcome::NotRun, 0, {}, call.reason});
-    --m_settled;
+    --m_settledCount;
     addWaiter(call, waiter);
     call.tries = 0;
     call.reason = Error();
-    if (call.phase == ClaimPhase::Held)
+    if (call.phase == ClaimPhase::HeldUndispatched)
         return read(call, out);
     proceedFromVoid(call, now, out);
 }
 
-bool ClaimedCalls::makeRoom()
+bool ClaimedCalls::ensureCapacity()
 {
-    if (m_calls.size() < maxRememberedCalls)
+    if (m_calls.size() < maxRetainedCalls)
         return true;
     // What is forgotten here is answered from the store's record, or `Unknown`.
     for (const auto &[time, name] : m_wakeUps) {
         ClaimedCall &call = m_calls.at(name);
         if (detail::isSettled(call)) {
-            forget(call);
+            removeCall(call);
             return true;
         }
     }
@@ -169,34 +170,35 @@
 void ClaimedCalls::handleTargetAnswer(const TargetAnswered &event, LedgerActions &out)
 {
     ClaimedCall *call = find(event.call);
-    const bool expected = call && (call->phase == ClaimPhase::Running || call->phase == ClaimPhase::Uncertain)
-        && call->dispatchedAs == event.call;
-    if (!expected)
+    const bool isExpected = call
+        && (call->phase == ClaimPhase::Running || call->phase == ClaimPhase::Uncertain)
+        && call->dispatchedCallId == event.call;
+    if (!isExpected)
         return;
     if (call->phase == ClaimPhase::Uncertain)
-        --m_settled;
+        --m_settledCount;
     call->phase = ClaimPhase::Done;
     setWakeUp(*call, absl::InfiniteFuture());
-    call->answer = detail::ranAnswer(event.status, event.body, BodyKept::Yes);
+    call->answer = detail::makeRanAnswer(event.status, event.body, BodyKept::Yes);
     answerAll(*call, call->answer, out);
-    keepOutcome(*call);
+    retainOutcome(*call);
     recordOutcome(*call, out);
 }
 
 void ClaimedCalls::handleDispatchFailure(const DispatchFailed &event, absl::Time now, LedgerActions &out)
 {
     ClaimedCall *call = find(event.call);
-    if (!call || call->phase != ClaimPhase::Running || call->dispatchedAs != event.call)
+    if (!call || call->phase != ClaimPhase::Running || call->dispatchedCallId != event.call)
         return;
     if (event.sent == BytesSent::Maybe) {
-        call->answer =
-            detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "the target's answer was lost");
+        call->answer = detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                                "the target's answer was lost");
         answerAll(*call, call->answer, out);
         return settle(*call, ClaimPhase::Uncertain, now);
     }
     call->reason = Error{ErrorCode::NoTargetAvailable, "no target took the call", detail::failureRetryAfter};
     for (auto &it : call->waiters)
-        it.purpose = Purpose::SealOnly;
+        it.purpose = Purpose::VoidOnly;
     proceedFromOwnClaim(*call, now, out);
 }
 
@@ -206,10 +208,10 @@
     if (!call || call->phase != ClaimPhase::Forwarding)
         return;
     const CallAnswer answer = event.answer.value_or(
-        detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "its owner was not reached"));
+        detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "its owner was not reached"));
     if (answer.outcome != CallOutcome::NotRun) {
         answerAll(*call, answer, out);
-        return forget(*call);
+        return removeCall(*call);
     }
     // The owner's `NotRun` speaks for the request that it was asked about and for those numbered before it.
     auto isCovered = [&](const Waiter &it) {
@@ -221,7 +223,7 @@
     }
     std::erase_if(call->waiters, isCovered);
     if (call->waiters.empty())
-        return forget(*call);
+        return removeCall(*call);
     read(*call, out);
 }
 
@@ -231,7 +233,7 @@
         ClaimedCall &call = m_calls.at(m_wakeUps.begin()->second);
         setWakeUp(call, absl::InfiniteFuture());
         if (detail::isSettled(call))
-            forget(call);
+            removeCall(call);
         else if (call.phase == ClaimPhase::Done)
             recordOutcome(call, out);
         else
@@ -241,15 +243,15 @@
 
 void ClaimedCalls::expireWaiters(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
-    const CallAnswer answer = detail::failedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
-                                                   "no outcome before the deadline");
+    const CallAnswer answer = detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
+                                                       "no outcome before the deadline");
     for (const auto &it : call.waiters) {
         if (it.deadline <= now)
             detail::answerCall(out, it.call, answer);
     }
     std::erase_if(call.waiters, [&](const Waiter &it) { return it.deadline <= now; });
     if (call.waiters.empty() && call.phase == ClaimPhase::Forwarding)
-        return forget(call);
+        return removeCall(call);
     setDeadlineWakeUp(call);
 }
 
@@ -261,14 +263,14 @@
 }
 
 // Bounds what a finished call costs in memory.
-void ClaimedCalls::keepOutcome(ClaimedCall &call)
+void ClaimedCalls::retainOutcome(ClaimedCall &call)
 {
     const std::size_t size = call.answer.body.size();
-    if (size > maxKeptBodyBytes || m_keptBytes + size > maxKeptBytes) {
-        call.answer = detail::ranAnswer(call.answer.status, {}, BodyKept::No);
+    if (size > maxRetainedBodyBytes || m_retainedBytes + size > maxRetainedBytes) {
+        call.answer = detail::makeRanAnswer(call.answer.status, {}, BodyKept::No);
         return;
     }
-    m_keptBytes += size;
+    m_retainedBytes += size;
 }
 
 // Nothing is under way any more; what is known is kept for a while.
@@ -276,13 +278,13 @@
 {
     call.phase = phase;
     VERIFY(detail::isSettled(call) && call.waiters.empty());
-    ++m_settled;
+    ++m_settledCount;
     setWakeUp(call, now + outcomeRetention);
     // A late answer still comes under the id of the dispatch; nothing else does.
-    std::erase_if(call.ids, [&](CallId id) {
-        if (phase == ClaimPhase::Uncertain && id == call.dispatchedAs)
+    std::erase_if(call.callIds, [&](CallId id) {
+        if (phase == ClaimPhase::Uncertain && id == call.dispatchedCallId)
             return false;
-        m_names.erase(id);
+        m_claimsByCall.erase(id);
         return true;
     });
 }
@@ -290,20 +292,20 @@
 void ClaimedCalls::addWaiter(ClaimedCall &call, const Waiter &waiter)
 {
     call.waiters.push_back(waiter);
-    call.ids.push_back(waiter.call);
-    m_names[waiter.call] = call.name;
+    call.callIds.push_back(waiter.call);
+    m_claimsByCall[waiter.call] = call.name;
 }
 
 ClaimedCall *ClaimedCalls::find(CallId id)
 {
-    auto it = m_names.find(id);
-    return it == m_names.end() ? nullptr : &m_calls.at(it->second);
+    auto it = m_claimsByCall.find(id);
+    return it == m_claimsByCall.end() ? nullptr : &m_calls.at(it->second);
 }
 
 ClaimedCall *ClaimedCalls::findPending(CallId id)
 {
     ClaimedCall *call = find(id);
-    return call && call->pending == id ? call : nullptr;
+    return call && call->pendingCallId == id ? call : nullptr;
 }
 
 void ClaimedCalls::setWakeUp(ClaimedCall &call, absl::Time time)
@@ -322,15 +324,15 @@
     setWakeUp(call, earliest);
 }
 
-void ClaimedCalls::forget(ClaimedCall &call)
+void ClaimedCalls::removeCall(ClaimedCall &call)
 {
     if (detail::isSettled(call))
-        --m_settled;
+        --m_settledCount;
     if (call.phase == ClaimPhase::Done)
-        m_keptBytes -= call.answer.body.size();
+        m_retainedBytes -= call.answer.body.size();
     setWakeUp(call, absl::InfiniteFuture());
-    for (const auto &it : call.ids)
-        m_names.erase(it);
+    for (const auto &it : call.callIds)
+        m_claimsByCall.erase(it);
     m_calls.erase(ClaimName(call.name));
 }
 
--- a/Libraries/LibLedger/ClaimedCalls.h
+++ b/Libraries/LibLedger/ClaimedCalls.h
@@ -27,7 +27,7 @@
     // The write that takes the claim is under way.
     Claiming,
     // The write that voids the claim is under way.
-    Sealing,
+    VoidingClaim,
     // The claim is being read, after a lost reply or a conflict.
     Checking,
     // Another incarnation owns the claim and is asked.
@@ -39,15 +39,15 @@
     // Dispatched and answered.
     Done,
     // Voided: any router may take the claim over for a request of a greater number.
-    Sealed,
+    ClaimVoided,
     // The claim is, or may be, in this incarnation's name; nothing was dispatched under it.
-    Held,
+    HeldUndispatched,
 };
 
-enum class Purpose { Run, SealOnly };
+enum class Purpose { Run, VoidOnly };
 // Whether the claim under `claimNonce` is in the store.
-enum class Possession { None, Maybe, Certain };
-enum class Recording { Due, UnderWay, Written };
+enum class Ownership { None, Possible, Confirmed };
+enum class RecordingState { Pending, InFlight, Completed };
 
 // One request of a caller that waits for the call's outcome.
 struct Waiter
@@ -66,28 +66,28 @@
     ClaimPhase phase{ClaimPhase::Claiming};
     std::vector<Waiter> waiters;
     // The call ids under which results may still be reported for this claim.
-    std::vector<CallId> ids;
+    std::vector<CallId> callIds;
     // The id of the store access or forward that is under way; others' results are ignored.
-    CallId pending;
-    CallId dispatchedAs;
+    CallId pendingCallId;
+    CallId dispatchedCallId;
     // The newest version of the object that is known to be of the state in `phase`; zero for no object.
     ObjectVersion version;
     // Of the claim that this incarnation takes; zero for none. Invariant: before Running, nothing was
     // dispatched under it.
     std::uint64_t claimNonce{0};
-    Possession possession{Possession::None};
-    ClaimRecord written;
+    Ownership ownership{Ownership::None};
+    ClaimRecord submittedRecord;
     // The version over which a void of this incarnation may still land; zero for none.
-    ObjectVersion voidMayLandOver;
+    ObjectVersion delayedVoidVersion;
     // Requests up to this one were told, or may be told, that they did not run.
-    std::uint32_t sealedAttempt{0};
+    std::uint32_t highestVoidedAttempt{0};
     // The greatest number among the requests that the owner was asked about.
     std::uint32_t forwardedAttempt{0};
     // Why a voided call did not run.
     Error reason;
     int tries{0};
     CallAnswer answer;
-    Recording recording{Recording::Due};
+    RecordingState recordingState{RecordingState::Pending};
     absl::Duration backoff;
     absl::Time wakeAt{absl::InfiniteFuture()};
 };
@@ -99,7 +99,7 @@
 public:
     ClaimedCalls(RouterId self, Incarnation incarnation, RandomSource &random);
 
-    [[nodiscard]] bool knows(CallId call) const { return m_names.contains(call); }
+    [[nodiscard]] bool containsCall(CallId call) const { return m_claimsByCall.contains(call); }
     [[nodiscard]] bool isIdle() const;
     [[nodiscard]] absl::Time nextWakeUp() const;
 
@@ -109,7 +109,7 @@
     void handleTargetAnswer(const TargetAnswered &, LedgerActions &out);
     void handleDispatchFailure(const DispatchFailed &, absl::Time now, LedgerActions &out);
     void handleOwnerAnswer(const OwnerAnswered &, LedgerActions &out);
-    void setNewCalls(detail::NewCalls newCalls) { m_newCalls = newCalls; }
+    void setNewCallPolicy(detail::NewCallPolicy newCallPolicy) { m_newCallPolicy = newCallPolicy; }
     void tick(absl::Time now, LedgerActions &out);
 
 private:
@@ -118,32 +118,32 @@
     // Arrivals.
     void create(const CallReceived &, detail::Waiter, absl::Time now, LedgerActions &out);
     void join(detail::ClaimedCall &, detail::Waiter, absl::Time now, LedgerActions &out);
-    [[nodiscard]] bool refuseOnArrival(const CallReceived &, const detail::Waiter &, LedgerActions &out);
-    void joinSealed(detail::ClaimedCall &, const detail::Waiter &, absl::Time now, LedgerActions &out);
-    [[nodiscard]] bool makeRoom();
+    [[nodiscard]] bool rejectOnArrival(const CallReceived &, const detail::Waiter &, LedgerActions &out);
+    void joinUndispatched(detail::ClaimedCall &, const detail::Waiter &, absl::Time now, LedgerActions &out);
+    [[nodiscard]] bool ensureCapacity();
 
     // The store protocol.
-    void proceedFromNone(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
+    void proceedWithoutClaim(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
     void proceedFromVoid(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
     void proceedFromOwnClaim(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
-    void meetClaim(detail::ClaimedCall &, const ClaimRecord &, ObjectVersion, absl::Time now,
-                   LedgerActions &out);
+    void handleExistingClaim(detail::ClaimedCall &, const ClaimRecord &, ObjectVersion, absl::Time now,
+                             LedgerActions &out);
     void writeClaim(detail::ClaimedCall &, ObjectVersion expected, absl::Time now, LedgerActions &out);
     void writeVoid(detail::ClaimedCall &, ObjectVersion expected, absl::Time now, LedgerActions &out);
     void write(detail::ClaimedCall &, ObjectVersion expected, LedgerActions &out);
     void read(detail::ClaimedCall &, LedgerActions &out);
-    void handleSealed(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
-    void giveUpWriting(detail::ClaimedCall &, const Error &, absl::Time now, LedgerActions &out);
-    void handleRecorded(detail::ClaimedCall &, const ClaimWritten &, absl::Time now);
+    void handleVoidApplied(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
+    void handleStoreFailure(detail::ClaimedCall &, const Error &, absl::Time now, LedgerActions &out);
+    void handleOutcomeWritten(detail::ClaimedCall &, const ClaimWritten &, absl::Time now);
     void recordOutcome(detail::ClaimedCall &, LedgerActions &out);
 
     // Dispatch, forwarding and answers.
     void dispatch(detail::ClaimedCall &, LedgerActions &out);
     void forward(detail::ClaimedCall &, const ClaimRecord &, LedgerActions &out);
     void answerAll(detail::ClaimedCall &, const CallAnswer &, LedgerActions &out);
-    void answerNotStarted(detail::ClaimedCall &, const Error &, LedgerActions &out);
-    void answerSealed(detail::ClaimedCall &, LedgerActions &out);
-    void keepOutcome(detail::ClaimedCall &);
+    void answerNotDispatched(detail::ClaimedCall &, const Error &, LedgerActions &out);
+    void answerVoided(detail::ClaimedCall &, LedgerActions &out);
+    void retainOutcome(detail::ClaimedCall &);
     void settle(detail::ClaimedCall &, detail::ClaimPhase, absl::Time now);
     void expireWaiters(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
 
@@ -153,22 +153,22 @@
     void addWaiter(detail::ClaimedCall &, const detail::Waiter &);
     void setWakeUp(detail::ClaimedCall &, absl::Time);
     void setDeadlineWakeUp(detail::ClaimedCall &);
-    void forget(detail::ClaimedCall &);
+    void removeCall(detail::ClaimedCall &);
     [[nodiscard]] std::uint64_t newNonce();
 
     RouterId m_self;
     Incarnation m_incarnation;
     RandomSource &m_random;
-    detail::NewCalls m_newCalls{detail::NewCalls::Dispatched};
+    detail::NewCallPolicy m_newCallPolicy{detail::NewCallPolicy::Admit};
     Calls m_calls;
     // Invariant: holds exactly the `ids` of the calls in m_calls.
-    std::map<CallId, ClaimName> m_names;
+    std::map<CallId, ClaimName> m_claimsByCall;
     // Invariant: holds the finite `wakeAt` of the calls in m_calls.
     std::set<std::pair<absl::Time, ClaimName>> m_wakeUps;
     // Bytes of the bodies kept in Done calls.
-    std::size_t m_keptBytes{0};
+    std::size_t m_retainedBytes{0};
     // Calls between their claim and their recorded outcome are the others.
-    std::size_t m_settled{0};
+    std::size_t m_settledCount{0};
 };
 
 // The name of a claim's object.
--- a/Libraries/LibLedger/ClaimedCallsStore.cpp
+++ b/Libraries/LibLedger/ClaimedCallsStore.cpp
@@ -10,10 +10,10 @@
 
 using detail::ClaimedCall;
 using detail::ClaimPhase;
-using detail::NewCalls;
-using detail::Possession;
+using detail::NewCallPolicy;
+using detail::Ownership;
 using detail::Purpose;
-using detail::Recording;
+using detail::RecordingState;
 using detail::Waiter;
 
 namespace detail {
@@ -49,17 +49,17 @@
                        [&](const Waiter &it) { return wantsRun(it, now); });
 }
 
-std::uint32_t greatestAttempt(const ClaimedCall &call)
+std::uint32_t highestAttempt(const ClaimedCall &call)
 {
-    std::uint32_t greatest = call.sealedAttempt;
+    std::uint32_t highest = call.highestVoidedAttempt;
     for (const auto &it : call.waiters)
-        greatest = std::max(greatest, it.attempt);
-    return greatest;
+        highest = std::max(highest, it.attempt);
+    return highest;
 }
 
 } // namespace detail
 
-void ClaimedCalls::proceedFromNone(ClaimedCall &call, absl::Time now, LedgerActions &out)
+void ClaimedCalls::proceedWithoutClaim(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
     call.version = ObjectVersion();
     if (detail::wantsRun(call, now))
@@ -70,7 +70,7 @@
 void ClaimedCalls::proceedFromVoid(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
     call.claimNonce = 0;
-    call.possession = Possession::None;
+    call.ownership = Ownership::None;
     if (detail::wantsRun(call, now))
         return writeClaim(call, call.version, now, out);
     writeVoid(call, call.version, now, out);
@@ -79,11 +79,11 @@
 void ClaimedCalls::proceedFromOwnClaim(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
     // After a pause nobody may be waiting any more, or the configuration may be old.
-    if (!detail::wantsRun(call, now) || m_newCalls == NewCalls::RefusedAsStale)
+    if (!detail::wantsRun(call, now) || m_newCallPolicy == NewCallPolicy::RejectAsStale)
         return writeVoid(call, call.version, now, out);
     // A void whose reply was lost could land after the dispatch, and let another router take the call over.
     // Moving the claim to a new version keeps it out.
-    if (call.voidMayLandOver == call.version)
+    if (call.delayedVoidVersion == call.version)
         return writeClaim(call, call.version, now, out);
     dispatch(call, out);
 }
@@ -93,9 +93,10 @@
     // A claim that may have been written keeps its nonce, so that it is known again whenever it appears.
     if (call.claimNonce == 0)
         call.claimNonce = newNonce();
-    call.written = ClaimRecord{m_self, m_incarnation, call.claimNonce, call.digest, ClaimState::Claimed};
+    call.submittedRecord =
+        ClaimRecord{m_self, m_incarnation, call.claimNonce, call.digest, ClaimState::Claimed};
     if (++call.tries > detail::maxTries)
-        return giveUpWriting(call, detail::storeOutcomeUnknown(), now, out);
+        return handleStoreFailure(call, detail::storeOutcomeUnknown(), now, out);
     call.phase = ClaimPhase::Claiming;
     write(call, expected, out);
 }
@@ -103,30 +104,30 @@
 void ClaimedCalls::writeVoid(ClaimedCall &call, ObjectVersion expected, absl::Time now, LedgerActions &out)
 {
     if (call.reason.detail.empty())
-        call.reason = Error{detail::refusalCode(m_newCalls), "given up before its dispatch",
-                            detail::elsewhereRetryAfter};
-    call.written = ClaimRecord{m_self, m_incarnation, newNonce(), call.digest, ClaimState::Voided};
-    call.written.attempt = detail::greatestAttempt(call);
-    call.voidMayLandOver = expected;
+        call.reason = Error{detail::rejectionCode(m_newCallPolicy), "given up before its dispatch",
+                            detail::otherRouterRetryAfter};
+    call.submittedRecord = ClaimRecord{m_self, m_incarnation, newNonce(), call.digest, ClaimState::Voided};
+    call.submittedRecord.attempt = detail::highestAttempt(call);
+    call.delayedVoidVersion = expected;
     if (++call.tries > detail::maxTries)
-        return giveUpWriting(call, detail::storeOutcomeUnknown(), now, out);
-    call.phase = ClaimPhase::Sealing;
+        return handleStoreFailure(call, detail::storeOutcomeUnknown(), now, out);
+    call.phase = ClaimPhase::VoidingClaim;
     write(call, expected, out);
 }
 
 void ClaimedCalls::write(ClaimedCall &call, ObjectVersion expected, LedgerActions &out)
 {
-    call.pending = call.ids.back();
+    call.pendingCallId = call.callIds.back();
     setWakeUp(call, absl::InfiniteFuture());
-    out.emplace_back(WriteClaim{call.pending, call.name, call.written, expected});
+    out.emplace_back(WriteClaim{call.pendingCallId, call.name, call.submittedRecord, expected});
 }
 
 void ClaimedCalls::read(ClaimedCall &call, LedgerActions &out)
 {
     call.phase = ClaimPhase::Checking;
     setWakeUp(call, absl::InfiniteFuture());
-    call.pending = call.ids.back();
-    out.emplace_back(ReadClaim{call.pending, call.name});
+    call.pendingCallId = call.callIds.back();
+    out.emplace_back(ReadClaim{call.pendingCallId, call.name});
 }
 
 void ClaimedCalls::handleWritten(const ClaimWritten &event, absl::Time now, LedgerActions &out)
@@ -135,24 +136,24 @@
     if (!call)
         return;
     if (call->phase == ClaimPhase::Done)
-        return handleRecorded(*call, event, now);
-    if (call->phase != ClaimPhase::Claiming && call->phase != ClaimPhase::Sealing)
+        return handleOutcomeWritten(*call, event, now);
+    if (call->phase != ClaimPhase::Claiming && call->phase != ClaimPhase::VoidingClaim)
         return;
-    call->pending = CallId();
+    call->pendingCallId = CallId();
     switch (event.result) {
-    case WriteResult::Applied:
+    case ClaimWriteResult::Applied:
         call->version = event.version;
-        if (call->phase == ClaimPhase::Sealing)
-            return handleSealed(*call, now, out);
-        call->possession = Possession::Certain;
+        if (call->phase == ClaimPhase::VoidingClaim)
+            return handleVoidApplied(*call, now, out);
+        call->ownership = Ownership::Confirmed;
         return proceedFromOwnClaim(*call, now, out);
-    case WriteResult::NotApplied:
-        return giveUpWriting(*call, detail::storeUnavailable(), now, out);
-    case WriteResult::Unsure:
+    case ClaimWriteResult::NotApplied:
+        return handleStoreFailure(*call, detail::storeUnavailable(), now, out);
+    case ClaimWriteResult::Indeterminate:
         if (call->phase == ClaimPhase::Claiming)
-            call->possession = Possession::Maybe;
+            call->ownership = Ownership::Possible;
         return read(*call, out);
-    case WriteResult::Conflict:
+    case ClaimWriteResult::Conflict:
         // The reply does not say whose record is there; the record does.
         return read(*call, out);
     }
@@ -163,75 +164,75 @@
     ClaimedCall *call = findPending(event.call);
     if (!call || call->phase != ClaimPhase::Checking)
         return;
-    call->pending = CallId();
+    call->pendingCallId = CallId();
     if (!event.answered)
-        return giveUpWriting(*call, detail::storeOutcomeUnknown(), now, out);
+        return handleStoreFailure(*call, detail::storeOutcomeUnknown(), now, out);
     if (!event.record)
-        return proceedFromNone(*call, now, out);
+        return proceedWithoutClaim(*call, now, out);
     const ClaimRecord &record = *event.record;
     if (record.digest != call->digest) {
         answerAll(*call,
-                  detail::failedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                       "the key came with another body before", std::nullopt),
+                  detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
+                                           "the key came with another body before", std::nullopt),
                   out);
-        return forget(*call);
+        return removeCall(*call);
     }
     switch (record.state) {
     case ClaimState::Claimed:
-        return meetClaim(*call, record, event.version, now, out);
+        return handleExistingClaim(*call, record, event.version, now, out);
     case ClaimState::Done:
-        answerAll(*call, detail::ranAnswer(record.status, record.body, record.bodyKept), out);
-        return forget(*call);
+        answerAll(*call, detail::makeRanAnswer(record.status, record.body, record.bodyKept), out);
+        return removeCall(*call);
     case ClaimState::Voided:
         call->version = event.version;
-        call->sealedAttempt = std::max(call->sealedAttempt, record.attempt);
-        if (record == call->written)
-            return handleSealed(*call, now, out);
+        call->highestVoidedAttempt = std::max(call->highestVoidedAttempt, record.attempt);
+        if (record == call->submittedRecord)
+            return handleVoidApplied(*call, now, out);
         call->reason = Error{ErrorCode::NoTargetAvailable, "given up before; use a new key", std::nullopt};
-        answerSealed(*call, out);
+        answerVoided(*call, out);
         if (call->waiters.empty())
-            return settle(*call, ClaimPhase::Sealed, now);
+            return settle(*call, ClaimPhase::ClaimVoided, now);
         return proceedFromVoid(*call, now, out);
     }
 }
 
 // The record names an owner. It is this entry's claim only if it carries its nonce: anything older of this
 // router may have been dispatched before a restart, or before it was forgotten.
-void ClaimedCalls::meetClaim(ClaimedCall &call, const ClaimRecord &record, ObjectVersion version,
-                             absl::Time now, LedgerActions &out)
+void ClaimedCalls::handleExistingClaim(ClaimedCall &call, const ClaimRecord &record, ObjectVersion version,
+                                       absl::Time now, LedgerActions &out)
 {
     if (record.owner != m_self)
         return forward(call, record, out);
     if (record.incarnation == m_incarnation && record.nonce == call.claimNonce) {
         call.version = version;
-        call.possession = Possession::Certain;
+        call.ownership = Ownership::Confirmed;
         return proceedFromOwnClaim(call, now, out);
     }
     answerAll(call,
-              detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
-                                   "its owner lost the outcome in a restart"),
+              detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                       "its owner lost the outcome in a restart"),
               out);
-    forget(call);
+    removeCall(call);
 }
 
-void ClaimedCalls::handleSealed(ClaimedCall &call, absl::Time now, LedgerActions &out)
+void ClaimedCalls::handleVoidApplied(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
-    call.sealedAttempt = std::max(call.sealedAttempt, call.written.attempt);
+    call.highestVoidedAttempt = std::max(call.highestVoidedAttempt, call.submittedRecord.attempt);
     call.claimNonce = 0;
-    call.possession = Possession::None;
-    answerSealed(call, out);
-    std::vector<Waiter> later;
-    later.swap(call.waiters);
-    settle(call, ClaimPhase::Sealed, now);
+    call.ownership = Ownership::None;
+    answerVoided(call, out);
+    std::vector<Waiter> laterWaiters;
+    laterWaiters.swap(call.waiters);
+    settle(call, ClaimPhase::ClaimVoided, now);
     // Greater numbers came while the void was being written.
-    for (const auto &it : later)
+    for (const auto &it : laterWaiters)
         join(call, it, now, out);
 }
 
 // Answers the requests that the void covers.
-void ClaimedCalls::answerSealed(ClaimedCall &call, LedgerActions &out)
+void ClaimedCalls::answerVoided(ClaimedCall &call, LedgerActions &out)
 {
-    auto isCovered = [&](const Waiter &it) { return it.attempt <= call.sealedAttempt; };
+    auto isCovered = [&](const Waiter &it) { return it.attempt <= call.highestVoidedAttempt; };
     for (const auto &it : call.waiters) {
         if (isCovered(it))
             detail::answerCall(out, it.call, CallAnswer{CallOutcome::NotRun, 0, {}, call.reason});
@@ -240,34 +241,35 @@
 }
 
 // The store does not help for now. What may be in the store decides what is remembered.
-void ClaimedCalls::giveUpWriting(ClaimedCall &call, const Error &error, absl::Time now, LedgerActions &out)
+void ClaimedCalls::handleStoreFailure(ClaimedCall &call, const Error &error, absl::Time now,
+                                      LedgerActions &out)
 {
-    const bool metAnother = call.phase == ClaimPhase::Checking && call.possession == Possession::None;
-    if (metAnother)
+    const bool foundOtherClaim = call.phase == ClaimPhase::Checking && call.ownership == Ownership::None;
+    if (foundOtherClaim)
         answerAll(call, CallAnswer{CallOutcome::Unknown, 0, {}, error}, out);
     else
-        answerNotStarted(call, error, out);
+        answerNotDispatched(call, error, out);
     call.reason = error;
-    if (call.possession != Possession::None)
-        return settle(call, ClaimPhase::Held, now);
+    if (call.ownership != Ownership::None)
+        return settle(call, ClaimPhase::HeldUndispatched, now);
     call.claimNonce = 0;
-    if (call.version != ObjectVersion() && !metAnother)
-        return settle(call, ClaimPhase::Sealed, now);
-    forget(call);
+    if (call.version != ObjectVersion() && !foundOtherClaim)
+        return settle(call, ClaimPhase::ClaimVoided, now);
+    removeCall(call);
 }
 
 // Nothing was dispatched here. Whether nothing was dispatched anywhere is known only where the caller's
 // numbers leave no request that could have been.
-void ClaimedCalls::answerNotStarted(ClaimedCall &call, const Error &error, LedgerActions &out)
+void ClaimedCalls::answerNotDispatched(ClaimedCall &call, const Error &error, LedgerActions &out)
 {
     std::sort(call.waiters.begin(), call.waiters.end(),
               [](const Waiter &left, const Waiter &right) { return left.attempt < right.attempt; });
     for (const auto &it : call.waiters) {
-        const bool proven = it.attempt > 0 && it.attempt <= call.sealedAttempt + 1;
-        if (proven)
-            call.sealedAttempt = std::max(call.sealedAttempt, it.attempt);
+        const bool isProven = it.attempt > 0 && it.attempt <= call.highestVoidedAttempt + 1;
+        if (isProven)
+            call.highestVoidedAttempt = std::max(call.highestVoidedAttempt, it.attempt);
         detail::answerCall(out, it.call,
-                           CallAnswer{proven ? CallOutcome::NotRun : CallOutcome::Unknown, 0, {}, error});
+                           CallAnswer{isProven ? CallOutcome::NotRun : CallOutcome::Unknown, 0, {}, error});
     }
     call.waiters.clear();
 }
@@ -275,9 +277,9 @@
 void ClaimedCalls::dispatch(ClaimedCall &call, LedgerActions &out)
 {
     call.phase = ClaimPhase::Running;
-    call.dispatchedAs = call.waiters.back().call;
-    detail::record(out, call.dispatchedAs, "dispatch", "this incarnation owns the claim");
-    out.emplace_back(Dispatch{call.dispatchedAs, call.service});
+    call.dispatchedCallId = call.waiters.back().call;
+    detail::recordDecision(out, call.dispatchedCallId, "dispatch", "this incarnation owns the claim");
+    out.emplace_back(Dispatch{call.dispatchedCallId, call.service});
     setDeadlineWakeUp(call);
 }
 
@@ -288,10 +290,10 @@
         call.waiters.begin(), call.waiters.end(),
         [](const Waiter &left, const Waiter &right) { return left.attempt < right.attempt; });
     VERIFY(it != call.waiters.end());
-    call.pending = it->call;
+    call.pendingCallId = it->call;
     call.forwardedAttempt = it->attempt;
-    detail::record(out, call.pending, "forward", "another incarnation owns the claim");
-    out.emplace_back(ForwardToOwner{call.pending, record.owner, record.incarnation});
+    detail::recordDecision(out, call.pendingCallId, "forward", "another incarnation owns the claim");
+    out.emplace_back(ForwardToOwner{call.pendingCallId, record.owner, record.incarnation});
     setDeadlineWakeUp(call);
 }
 
@@ -301,22 +303,22 @@
     done.status = call.answer.status;
     done.body = call.answer.body;
     done.bodyKept = call.answer.error ? BodyKept::No : BodyKept::Yes;
-    call.recording = Recording::UnderWay;
-    call.pending = call.dispatchedAs;
-    out.emplace_back(WriteClaim{call.pending, call.name, std::move(done), call.version});
+    call.recordingState = RecordingState::InFlight;
+    call.pendingCallId = call.dispatchedCallId;
+    out.emplace_back(WriteClaim{call.pendingCallId, call.name, std::move(done), call.version});
 }
 
-void ClaimedCalls::handleRecorded(ClaimedCall &call, const ClaimWritten &event, absl::Time now)
+void ClaimedCalls::handleOutcomeWritten(ClaimedCall &call, const ClaimWritten &event, absl::Time now)
 {
-    if (call.recording != Recording::UnderWay)
+    if (call.recordingState != RecordingState::InFlight)
         return;
-    call.pending = CallId();
+    call.pendingCallId = CallId();
     // Nobody else writes over this claim: a conflict means that an earlier write of the outcome took effect.
-    if (event.result == WriteResult::Applied || event.result == WriteResult::Conflict) {
-        call.recording = Recording::Written;
+    if (event.result == ClaimWriteResult::Applied || event.result == ClaimWriteResult::Conflict) {
+        call.recordingState = RecordingState::Completed;
         return settle(call, ClaimPhase::Done, now);
     }
-    call.recording = Recording::Due;
+    call.recordingState = RecordingState::Pending;
     call.backoff = std::clamp(call.backoff * 2, detail::firstBackoff, detail::maxBackoff);
     setWakeUp(call, now + call.backoff);
 }
--- a/Libraries/LibLedger/Events.h
+++ b/Libraries/LibLedger/Events.h
@@ -105,20 +105,20 @@
 };
 
 // How a conditional write ended.
-enum class WriteResult {
+enum class ClaimWriteResult {
     Applied,
     // Another version is there; the write had no effect.
     Conflict,
     // The store was not reached; the write had no effect.
     NotApplied,
     // The reply was lost; the write may have taken effect.
-    Unsure,
+    Indeterminate,
 };
 
 struct ClaimWritten
 {
     CallId call;
-    WriteResult result{WriteResult::Unsure};
+    ClaimWriteResult result{ClaimWriteResult::Indeterminate};
     // The object's new version, for Applied.
     ObjectVersion version;
 };
@@ -157,7 +157,7 @@
 
 // Whether new calls may be dispatched. A router whose configuration may be old must not choose targets by it.
 // A ledger starts as one that may.
-struct LedgerFreshnessChanged
+struct LedgerConfigurationFreshnessChanged
 {
     bool fresh{true};
 };
@@ -170,8 +170,9 @@
 {
 };
 
-using LedgerEvent = std::variant<CallReceived, ClaimWritten, ClaimRead, TargetAnswered, DispatchFailed,
-                                 OwnerAnswered, LedgerFreshnessChanged, LedgerDrainStarted, LedgerTick>;
+using LedgerEvent =
+    std::variant<CallReceived, ClaimWritten, ClaimRead, TargetAnswered, DispatchFailed, OwnerAnswered,
+                 LedgerConfigurationFreshnessChanged, LedgerDrainStarted, LedgerTick>;
 
 // ---- Actions
 // ----------------------------------------------------------------------------------------------------
--- a/Libraries/LibLedger/Ticket.cpp
+++ b/Libraries/LibLedger/Ticket.cpp
@@ -13,9 +13,9 @@
 namespace detail {
 
 constexpr const char *ticketPrefix = "wt1.";
-constexpr std::size_t checkDigits = 16;
+constexpr std::size_t hashDigits = 16;
 
-std::string checkedPart(const Ticket &ticket)
+std::string hashedText(const Ticket &ticket)
 {
     return absl::StrCat(ticketPrefix, ticket.router.value(), ".", ticket.incarnation.value(), ".",
                         ticket.number.value());
@@ -23,21 +23,21 @@
 
 } // namespace detail
 
-bool looksLikeTicket(const IdempotencyKey &key)
+bool hasTicketPrefix(const IdempotencyKey &key)
 {
     return key.value().starts_with(detail::ticketPrefix);
 }
 
-std::uint64_t ticketCheck(const Ticket &ticket, TicketSecret secret)
+std::uint64_t ticketHash(const Ticket &ticket, TicketSecret secret)
 {
-    const std::string text = detail::checkedPart(ticket);
+    const std::string text = detail::hashedText(ticket);
     return XXH64(text.data(), text.size(), secret.value());
 }
 
 IdempotencyKey toKey(const Ticket &ticket)
 {
     return IdempotencyKey(
-        absl::StrCat(detail::checkedPart(ticket), ".", absl::Hex(ticket.check, absl::kZeroPad16)));
+        absl::StrCat(detail::hashedText(ticket), ".", absl::Hex(ticket.keyedHash, absl::kZeroPad16)));
 }
 
 ErrorOr<Ticket> ticketFromKey(const IdempotencyKey &key)
@@ -48,9 +48,9 @@
     Ticket ticket;
     std::uint64_t incarnation = 0;
     std::uint64_t number = 0;
-    if (!looksLikeTicket(key) || n < 5 || parts[n - 1].size() != detail::checkDigits
+    if (!hasTicketPrefix(key) || n < 5 || parts[n - 1].size() != detail::hashDigits
         || !absl::SimpleAtoi(parts[n - 3], &incarnation) || !absl::SimpleAtoi(parts[n - 2], &number)
-        || !absl::SimpleHexAtoi(parts[n - 1], &ticket.check))
+        || !absl::SimpleHexAtoi(parts[n - 1], &ticket.keyedHash))
         return makeError(ErrorCode::InvalidRequest, "malformed ticket");
     ticket.router = RouterId(absl::StrJoin(parts.begin() + 1, parts.end() - 3, "."));
     ticket.incarnation = Incarnation(incarnation);
--- a/Libraries/LibLedger/Ticket.h
+++ b/Libraries/LibLedger/Ticket.h
@@ -21,14 +21,14 @@
     Incarnation incarnation;
     TicketNumber number;
     // Keyed hash over the other members.
-    std::uint64_t check{0};
+    std::uint64_t keyedHash{0};
 
     bool operator==(const Ticket &) const = default;
 };
 
 // True for keys of the form that is reserved for tickets.
-[[nodiscard]] bool looksLikeTicket(const IdempotencyKey &);
-[[nodiscard]] std::uint64_t ticketCheck(const Ticket &, TicketSecret);
+[[nodiscard]] bool hasTicketPrefix(const IdempotencyKey &);
+[[nodiscard]] std::uint64_t ticketHash(const Ticket &, TicketSecret);
 // "wt1.ROUTER.INCARNATION.NUMBER.CHECK", the check in hexadecimal.
 [[nodiscard]] IdempotencyKey toKey(const Ticket &);
 // Fails with ErrorCode::InvalidRequest on a malformed key. The check is read, not verified.
--- a/Libraries/LibLedger/TicketedCalls.cpp
+++ b/Libraries/LibLedger/TicketedCalls.cpp
@@ -15,12 +15,12 @@
 namespace detail {
 
 // Tickets issued within this time share one mark of their time of issue.
-constexpr absl::Duration issueMarkSpacing = absl::Seconds(1);
+constexpr absl::Duration issueCheckpointInterval = absl::Seconds(1);
 
-CallAnswer invalidTicket()
+CallAnswer makeInvalidTicketAnswer()
 {
-    return failedAnswer(CallOutcome::NotRun, ErrorCode::InvalidRequest, "not a ticket of this system",
-                        std::nullopt);
+    return makeFailedAnswer(CallOutcome::NotRun, ErrorCode::InvalidRequest, "not a ticket of this system",
+                            std::nullopt);
 }
 
 } // namespace detail
@@ -32,13 +32,13 @@
 
 IdempotencyKey TicketedCalls::issue(absl::Time now)
 {
-    while (!m_marks.empty() && m_marks.front().time + 2 * ticketLifetime < now)
-        m_marks.pop_front();
+    while (!m_issueCheckpoints.empty() && m_issueCheckpoints.front().time + 2 * ticketLifetime < now)
+        m_issueCheckpoints.pop_front();
     m_lastIssued = TicketNumber(m_lastIssued.value() + 1);
-    if (m_marks.empty() || m_marks.back().time + detail::issueMarkSpacing <= now)
-        m_marks.push_back(IssueMark{m_lastIssued, now});
+    if (m_issueCheckpoints.empty() || m_issueCheckpoints.back().time + detail::issueCheckpointInterval <= now)
+        m_issueCheckpoints.push_back(IssueCheckpoint{m_lastIssued, now});
     Ticket ticket{m_self, m_incarnation, m_lastIssued};
-    ticket.check = ticketCheck(ticket, m_secret);
+    ticket.keyedHash = ticketHash(ticket, m_secret);
     return toKey(ticket);
 }
 
@@ -54,32 +54,32 @@
 {
     const ErrorOr<Ticket> ticket = ticketFromKey(received.key);
     if (!ticket)
-        return detail::answerCall(out, received.call, detail::invalidTicket());
+        return detail::answerCall(out, received.call, detail::makeInvalidTicketAnswer());
     if (ticket->router != m_self)
         return forward(*ticket, received, now, out);
     if (ticket->incarnation != m_incarnation)
-        return detail::answerCall(
-            out, received.call,
-            detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "its router was restarted"));
-    receiveOwn(*ticket, received, now, out);
+        return detail::answerCall(out, received.call,
+                                  detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                                           "its router was restarted"));
+    receiveOwnTicket(*ticket, received, now, out);
 }
 
-void TicketedCalls::receiveOwn(const Ticket &ticket, const CallReceived &received, absl::Time now,
-                               LedgerActions &out)
+void TicketedCalls::receiveOwnTicket(const Ticket &ticket, const CallReceived &received, absl::Time now,
+                                     LedgerActions &out)
 {
-    if (ticket.check != ticketCheck(ticket, m_secret))
-        return detail::answerCall(out, received.call, detail::invalidTicket());
+    if (ticket.keyedHash != ticketHash(ticket, m_secret))
+        return detail::answerCall(out, received.call, detail::makeInvalidTicketAnswer());
     if (auto it = m_calls.find(ticket.number); it != m_calls.end())
         return join(it->second, received, out);
-    switch (validityOf(ticket, now)) {
+    switch (ticketValidity(ticket, now)) {
     case Validity::NeverIssued:
-        return detail::answerCall(out, received.call, detail::invalidTicket());
+        return detail::answerCall(out, received.call, detail::makeInvalidTicketAnswer());
     case Validity::Expired:
         return detail::answerCall(out, received.call,
-                                  detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
-                                                       "the ticket has expired", std::nullopt));
+                                  detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                                           "the ticket has expired", std::nullopt));
     case Validity::Valid:
-        return use(ticket, received, now, out);
+        return admitFirstRequest(ticket, received, now, out);
     }
 }
 
@@ -87,10 +87,10 @@
 {
     if (call.digest != received.digest || call.workspace != received.workspace
         || call.service != received.service)
-        return detail::answerCall(out, received.call,
-                                  detail::failedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                                       "the ticket came with another body before",
-                                                       std::nullopt));
+        return detail::answerCall(
+            out, received.call,
+            detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
+                                     "the ticket came with another body before", std::nullopt));
     if (call.phase != TicketPhase::Running)
         return detail::answerCall(out, received.call, call.answer);
     call.waiters.push_back(TicketWaiter{received.call, received.deadline});
@@ -98,33 +98,33 @@
 }
 
 // The first request under a ticket decides for good whether it runs.
-void TicketedCalls::use(const Ticket &ticket, const CallReceived &received, absl::Time now,
-                        LedgerActions &out)
+void TicketedCalls::admitFirstRequest(const Ticket &ticket, const CallReceived &received, absl::Time now,
+                                      LedgerActions &out)
 {
     // A ticket that cannot be remembered must neither run nor be called used up.
-    if (m_calls.size() >= maxRememberedCalls)
+    if (m_calls.size() >= maxRetainedCalls)
         return detail::answerCall(out, received.call,
-                                  detail::failedAnswer(CallOutcome::Unknown, ErrorCode::Overloaded,
-                                                       "too many tickets are remembered"));
+                                  detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::Overloaded,
+                                                           "too many tickets are remembered"));
     TicketedCall &call = m_calls[ticket.number];
     call.number = ticket.number;
     call.workspace = received.workspace;
     call.service = received.service;
     call.digest = received.digest;
-    call.dispatchedAs = received.call;
+    call.dispatchedCallId = received.call;
     call.waiters.push_back(TicketWaiter{received.call, received.deadline});
-    ++m_running;
+    ++m_runningCount;
     const bool expired = received.deadline <= now;
-    if (expired || m_newCalls != detail::NewCalls::Dispatched) {
-        const ErrorCode code = expired ? ErrorCode::DeadlineExceeded : detail::refusalCode(m_newCalls);
-        return finish(call, TicketPhase::UsedUp,
-                      detail::failedAnswer(CallOutcome::NotRun, code,
-                                           "refused on arrival; take another ticket",
-                                           detail::elsewhereRetryAfter),
+    if (expired || m_newCallPolicy != detail::NewCallPolicy::Admit) {
+        const ErrorCode code = expired ? ErrorCode::DeadlineExceeded : detail::rejectionCode(m_newCallPolicy);
+        return finish(call, TicketPhase::Consumed,
+                      detail::makeFailedAnswer(CallOutcome::NotRun, code,
+                                               "refused on arrival; take another ticket",
+                                               detail::otherRouterRetryAfter),
                       now, out);
     }
-    m_dispatched[received.call] = ticket.number;
-    detail::record(out, received.call, "dispatch", "this incarnation issued the ticket");
+    m_ticketsByDispatch[received.call] = ticket.number;
+    detail::recordDecision(out, received.call, "dispatch", "this incarnation issued the ticket");
     out.emplace_back(Dispatch{received.call, received.service});
     setDeadlineWakeUp(call);
 }
@@ -134,14 +134,14 @@
 {
     // A call that was forwarded before is at the wrong router by mistake; it must not go round.
     if (received.source == CallSource::Router || received.deadline <= now
-        || m_forwards.size() >= maxRememberedCalls)
-        return detail::answerCall(
-            out, received.call,
-            detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "its router was not asked"));
-    m_forwards[received.call] = received.deadline;
+        || m_forwardedCalls.size() >= maxRetainedCalls)
+        return detail::answerCall(out, received.call,
+                                  detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                                           "its router was not asked"));
+    m_forwardedCalls[received.call] = received.deadline;
     if (received.deadline != absl::InfiniteFuture())
         m_forwardDeadlines.emplace(received.deadline, received.call);
-    detail::record(out, received.call, "forward", "another incarnation issued the ticket");
+    detail::recordDecision(out, received.call, "forward", "another incarnation issued the ticket");
     out.emplace_back(ForwardToOwner{received.call, ticket.router, ticket.incarnation});
 }
 
@@ -150,11 +150,12 @@
     TicketedCall *call = findDispatched(event.call);
     if (!call)
         return;
-    finish(*call, TicketPhase::Done, detail::ranAnswer(event.status, event.body, BodyKept::Yes), now, out);
+    finish(*call, TicketPhase::Done, detail::makeRanAnswer(event.status, event.body, BodyKept::Yes), now,
+           out);
     const std::size_t size = event.body.size();
-    if (size > maxKeptBodyBytes || m_keptBytes + size > maxKeptBytes)
-        call->answer = detail::ranAnswer(event.status, {}, BodyKept::No);
-    m_keptBytes += call->answer.body.size();
+    if (size > maxRetainedBodyBytes || m_retainedBytes + size > maxRetainedBytes)
+        call->answer = detail::makeRanAnswer(event.status, {}, BodyKept::No);
+    m_retainedBytes += call->answer.body.size();
 }
 
 void TicketedCalls::handleDispatchFailure(const DispatchFailed &event, absl::Time now, LedgerActions &out)
@@ -163,26 +164,26 @@
     if (!call || call->phase != TicketPhase::Running)
         return;
     if (event.sent == BytesSent::Maybe)
-        return finish(
-            *call, TicketPhase::Uncertain,
-            detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "the target's answer was lost"),
-            now, out);
-    finish(*call, TicketPhase::UsedUp,
-           detail::failedAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable,
-                                "no target took the call; take another ticket"),
+        return finish(*call, TicketPhase::Uncertain,
+                      detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                               "the target's answer was lost"),
+                      now, out);
+    finish(*call, TicketPhase::Consumed,
+           detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable,
+                                    "no target took the call; take another ticket"),
            now, out);
 }
 
 void TicketedCalls::handleOwnerAnswer(const OwnerAnswered &event, LedgerActions &out)
 {
-    auto it = m_forwards.find(event.call);
-    if (it == m_forwards.end())
+    auto it = m_forwardedCalls.find(event.call);
+    if (it == m_forwardedCalls.end())
         return;
     m_forwardDeadlines.erase({it->second, event.call});
-    m_forwards.erase(it);
+    m_forwardedCalls.erase(it);
     detail::answerCall(out, event.call,
-                       event.answer.value_or(detail::failedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
-                                                                  "its router was not reached")));
+                       event.answer.value_or(detail::makeFailedAnswer(
+                           CallOutcome::Unknown, ErrorCode::AnswerLost, "its router was not reached")));
 }
 
 void TicketedCalls::tick(absl::Time now, LedgerActions &out)
@@ -192,15 +193,15 @@
         if (call.phase == TicketPhase::Running)
             expireWaiters(call, now, out);
         else
-            forget(call);
+            removeCall(call);
     }
     expireForwards(now, out);
 }
 
 void TicketedCalls::expireWaiters(TicketedCall &call, absl::Time now, LedgerActions &out)
 {
-    const CallAnswer answer = detail::failedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
-                                                   "no outcome before the deadline");
+    const CallAnswer answer = detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
+                                                       "no outcome before the deadline");
     for (const auto &it : call.waiters) {
         if (it.deadline <= now)
             detail::answerCall(out, it.call, answer);
@@ -214,10 +215,10 @@
     while (!m_forwardDeadlines.empty() && m_forwardDeadlines.begin()->first <= now) {
         const CallId call = m_forwardDeadlines.begin()->second;
         m_forwardDeadlines.erase(m_forwardDeadlines.begin());
-        m_forwards.erase(call);
+        m_forwardedCalls.erase(call);
         detail::answerCall(out, call,
-                           detail::failedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
-                                                "no outcome before the deadline"));
+                           detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
+                                                    "no outcome before the deadline"));
     }
 }
 
@@ -228,33 +229,33 @@
         detail::answerCall(out, it.call, answer);
     call.waiters.clear();
     if (call.phase == TicketPhase::Running)
-        --m_running;
+        --m_runningCount;
     call.phase = phase;
     call.answer = std::move(answer);
     // An uncertain call keeps its id, under which a late answer may still come.
     if (phase != TicketPhase::Uncertain)
-        m_dispatched.erase(call.dispatchedAs);
+        m_ticketsByDispatch.erase(call.dispatchedCallId);
     // Every ticket that was issued up to now has expired by then, this one included.
-    setWakeUp(call, now + std::max(ticketLifetime, outcomeRetention) + 2 * detail::issueMarkSpacing);
+    setWakeUp(call, now + std::max(ticketLifetime, outcomeRetention) + 2 * detail::issueCheckpointInterval);
 }
 
-TicketedCalls::Validity TicketedCalls::validityOf(const Ticket &ticket, absl::Time now) const
+TicketedCalls::Validity TicketedCalls::ticketValidity(const Ticket &ticket, absl::Time now) const
 {
     if (ticket.number == TicketNumber() || ticket.number > m_lastIssued)
         return Validity::NeverIssued;
-    auto it =
-        std::upper_bound(m_marks.begin(), m_marks.end(), ticket.number,
-                         [](TicketNumber number, const IssueMark &mark) { return number < mark.first; });
-    if (it == m_marks.begin())
+    auto it = std::upper_bound(
+        m_issueCheckpoints.begin(), m_issueCheckpoints.end(), ticket.number,
+        [](TicketNumber number, const IssueCheckpoint &checkpoint) { return number < checkpoint.first; });
+    if (it == m_issueCheckpoints.begin())
         return Validity::Expired;
-    return std::prev(it)->time + ticketLifetime + detail::issueMarkSpacing < now ? Validity::Expired
-                                                                                 : Validity::Valid;
+    return std::prev(it)->time + ticketLifetime + detail::issueCheckpointInterval < now ? Validity::Expired
+                                                                                        : Validity::Valid;
 }
 
 TicketedCall *TicketedCalls::findDispatched(CallId id)
 {
-    auto it = m_dispatched.find(id);
-    return it == m_dispatched.end() ? nullptr : &m_calls.at(it->second);
+    auto it = m_ticketsByDispatch.find(id);
+    return it == m_ticketsByDispatch.end() ? nullptr : &m_calls.at(it->second);
 }
 
 void TicketedCalls::setWakeUp(TicketedCall &call, absl::Time time)
@@ -273,11 +274,11 @@
     setWakeUp(call, earliest);
 }
 
-void TicketedCalls::forget(TicketedCall &call)
+void TicketedCalls::removeCall(TicketedCall &call)
 {
     setWakeUp(call, absl::InfiniteFuture());
-    m_keptBytes -= call.answer.body.size();
-    m_dispatched.erase(call.dispatchedAs);
+    m_retainedBytes -= call.answer.body.size();
+    m_ticketsByDispatch.erase(call.dispatchedCallId);
     m_calls.erase(TicketNumber(call.number));
 }
 
--- a/Libraries/LibLedger/TicketedCalls.h
+++ b/Libraries/LibLedger/TicketedCalls.h
@@ -24,7 +24,7 @@
     Uncertain,
     Done,
     // Refused before dispatch; it never runs.
-    UsedUp,
+    Consumed,
 };
 
 struct TicketWaiter
@@ -40,7 +40,7 @@
     ServiceName service;
     BodyDigest digest;
     TicketPhase phase{TicketPhase::Running};
-    CallId dispatchedAs;
+    CallId dispatchedCallId;
     std::vector<TicketWaiter> waiters;
     // What later askers hear, except while Running.
     CallAnswer answer;
@@ -55,7 +55,7 @@
     TicketedCalls(RouterId self, Incarnation incarnation, RandomSource &random);
 
     [[nodiscard]] IdempotencyKey issue(absl::Time now);
-    [[nodiscard]] bool isIdle() const { return m_running == 0 && m_forwards.empty(); }
+    [[nodiscard]] bool isIdle() const { return m_runningCount == 0 && m_forwardedCalls.empty(); }
     [[nodiscard]] absl::Time nextWakeUp() const;
 
     // For keys of the tickets' form.
@@ -63,48 +63,48 @@
     void handleTargetAnswer(const TargetAnswered &, absl::Time now, LedgerActions &out);
     void handleDispatchFailure(const DispatchFailed &, absl::Time now, LedgerActions &out);
     void handleOwnerAnswer(const OwnerAnswered &, LedgerActions &out);
-    void setNewCalls(detail::NewCalls newCalls) { m_newCalls = newCalls; }
+    void setNewCallPolicy(detail::NewCallPolicy newCallPolicy) { m_newCallPolicy = newCallPolicy; }
     void tick(absl::Time now, LedgerActions &out);
 
 private:
     enum class Validity { Valid, Expired, NeverIssued };
 
     // The tickets from `first` on were issued at `time` or later.
-    struct IssueMark
+    struct IssueCheckpoint
     {
         TicketNumber first;
         absl::Time time;
     };
 
-    void receiveOwn(const Ticket &, const CallReceived &, absl::Time now, LedgerActions &out);
+    void receiveOwnTicket(const Ticket &, const CallReceived &, absl::Time now, LedgerActions &out);
     void join(detail::TicketedCall &, const CallReceived &, LedgerActions &out);
-    void use(const Ticket &, const CallReceived &, absl::Time now, LedgerActions &out);
+    void admitFirstRequest(const Ticket &, const CallReceived &, absl::Time now, LedgerActions &out);
     void forward(const Ticket &, const CallReceived &, absl::Time now, LedgerActions &out);
     void finish(detail::TicketedCall &, detail::TicketPhase, CallAnswer, absl::Time now, LedgerActions &out);
     void expireWaiters(detail::TicketedCall &, absl::Time now, LedgerActions &out);
     void expireForwards(absl::Time now, LedgerActions &out);
-    [[nodiscard]] Validity validityOf(const Ticket &, absl::Time now) const;
+    [[nodiscard]] Validity ticketValidity(const Ticket &, absl::Time now) const;
     [[nodiscard]] detail::TicketedCall *findDispatched(CallId);
     void setWakeUp(detail::TicketedCall &, absl::Time);
     void setDeadlineWakeUp(detail::TicketedCall &);
-    void forget(detail::TicketedCall &);
+    void removeCall(detail::TicketedCall &);
 
     RouterId m_self;
     Incarnation m_incarnation;
     TicketSecret m_secret;
-    detail::NewCalls m_newCalls{detail::NewCalls::Dispatched};
+    detail::NewCallPolicy m_newCallPolicy{detail::NewCallPolicy::Admit};
     TicketNumber m_lastIssued;
     // Invariant: rising in both members; covers every ticket that may still be used.
-    std::deque<IssueMark> m_marks;
+    std::deque<IssueCheckpoint> m_issueCheckpoints;
     std::map<TicketNumber, detail::TicketedCall> m_calls;
     // Invariant: holds the dispatch ids of the Running and Uncertain calls.
-    std::map<CallId, TicketNumber> m_dispatched;
+    std::map<CallId, TicketNumber> m_ticketsByDispatch;
     std::set<std::pair<absl::Time, TicketNumber>> m_wakeUps;
     // Calls under tickets of other incarnations, and when their callers stop waiting.
-    std::map<CallId, absl::Time> m_forwards;
+    std::map<CallId, absl::Time> m_forwardedCalls;
     std::set<std::pair<absl::Time, CallId>> m_forwardDeadlines;
-    std::size_t m_running{0};
-    std::size_t m_keptBytes{0};
+    std::size_t m_runningCount{0};
+    std::size_t m_retainedBytes{0};
 };
 
 } // namespace Wisteria
--- a/Services/Router/CallHost.cpp
+++ b/Services/Router/CallHost.cpp
@@ -12,17 +12,17 @@
 constexpr const char *claimKind = "claims";
 constexpr std::size_t maxStoreThreads = 32;
 
-WriteResult writeResultOf(const ErrorOr<ObjectVersion> &result)
+ClaimWriteResult writeResultOf(const ErrorOr<ObjectVersion> &result)
 {
     if (result)
-        return WriteResult::Applied;
+        return ClaimWriteResult::Applied;
     switch (result.error().code) {
     case ErrorCode::Conflict:
-        return WriteResult::Conflict;
+        return ClaimWriteResult::Conflict;
     case ErrorCode::StoreUnavailable:
-        return WriteResult::NotApplied;
+        return ClaimWriteResult::NotApplied;
     default:
-        return WriteResult::Unsure;
+        return ClaimWriteResult::Indeterminate;
     }
 }
 
--- a/Services/Router/RouterProcess.cpp
+++ b/Services/Router/RouterProcess.cpp
@@ -78,7 +78,7 @@
     FleetListener &listener = *this;
     m_fleet = std::make_unique<FleetHost>(m_self, settings.seeds, m_random, *this, *m_store, *m_peers,
                                           listener, m_log, settings.timeouts.peerCall, monotonicNow());
-    m_calls->handle(LedgerFreshnessChanged{false}, monotonicNow());
+    m_calls->handle(LedgerConfigurationFreshnessChanged{false}, monotonicNow());
     m_peerServer = TRY(PeerServer::create(settings.peerListen, m_self.id, *this));
     m_poller = std::make_unique<TargetPoller>(*this, std::move(vms));
     m_thread = std::thread([this] { run(); });
@@ -314,7 +314,7 @@
     if (!m_isDraining)
         m_state = fresh ? ServingState::Serving : ServingState::Stale;
     m_generations->handle(FreshnessChanged{fresh}, monotonicNow());
-    m_calls->handle(LedgerFreshnessChanged{fresh}, monotonicNow());
+    m_calls->handle(LedgerConfigurationFreshnessChanged{fresh}, monotonicNow());
 }
 
 void RouterProcess::onDemandElsewhere(const DemandElsewhere &demand)
--- a/Specs/AtMostOnceCalls.pml
+++ b/Specs/AtMostOnceCalls.pml
@@ -17,10 +17,10 @@
 
 mtype:key = { Numbered, Unnumbered, Ticketed };
 mtype:state = { NoClaim, Claimed, Voided, RecordedDone };
-mtype:phase = { Idle, Claiming, Sealing, Checking, Running, Uncertain, Done, Sealed, Held, UsedUp };
+mtype:phase = { Idle, Claiming, VoidingClaim, Checking, Running, Uncertain, Done, ClaimVoided, HeldUndispatched, Consumed };
 mtype:source = { FromCaller, FromRouter };
 mtype:outcome = { Ran, NotRun, Unknown };
-mtype:possession = { Nothing, Maybe, Certain };
+mtype:ownership = { Nothing, Possible, Confirmed };
 mtype:report = { Answered, FailedMaybe };
 
 mtype:key kind;
@@ -39,9 +39,9 @@
     bool wantsRun;
     byte version;
     byte claimNonce;
-    mtype:possession possession;
-    byte sealedAttempt;
-    byte voidMayLandOver; /* a version; zero for none */
+    mtype:ownership ownership;
+    byte highestVoidedAttempt;
+    byte delayedVoidVersion; /* a version; zero for none */
     byte writtenNonce;    /* of the void that is being written */
     byte writtenAttempt;
     byte expected;
@@ -70,17 +70,17 @@
 byte runs = 0;
 byte openRequest = 0;
 byte lastRequest = 0;
-bool toldNotRun = false;
+bool wasReportedNotRun = false;
 bool finished = false;
 
 #define me routers[r]
 #define attemptOf(n) (kind == Numbered -> (n) : 0)
-#define isSettled(p) (p == Idle || p == Uncertain || p == Done || p == Sealed || p == Held || p == UsedUp)
+#define isSettled(p) (p == Idle || p == Uncertain || p == Done || p == ClaimVoided || p == HeldUndispatched || p == Consumed)
 #ifdef MUTANT_UNNUMBERED_TAKES_OVER
-#define isOvertaken (attemptOf(me.request) > 0 && attemptOf(me.request) <= me.sealedAttempt)
+#define isOvertaken (attemptOf(me.request) > 0 && attemptOf(me.request) <= me.highestVoidedAttempt)
 #else
 /* A void is final for requests without a number. */
-#define isOvertaken (attemptOf(me.request) <= me.sealedAttempt)
+#define isOvertaken (attemptOf(me.request) <= me.highestVoidedAttempt)
 #endif
 #define isOwnVoid (claimOwner == r && claimIncarnation == me.incarnation && me.writtenNonce != 0 && claimNonceInStore == me.writtenNonce)
 #define mayForget (kind != Ticketed && !hasForgotten && mayFail && isSettled(me.phase) && me.phase != Idle && (me.phase != Done || me.recorded))
@@ -93,7 +93,7 @@
         if
         :: outcome == NotRun ->
             assert(runs == 0);
-            toldNotRun = true;
+            wasReportedNotRun = true;
             openRequest = 0
         :: outcome == Ran ->
             assert(runs == 1);
@@ -113,13 +113,13 @@
     me.tries = 0
 }
 
-inline forget() {
+inline removeCall() {
     me.phase = Idle;
     me.version = 0;
     me.claimNonce = 0;
-    me.possession = Nothing;
-    me.sealedAttempt = 0;
-    me.voidMayLandOver = 0;
+    me.ownership = Nothing;
+    me.highestVoidedAttempt = 0;
+    me.delayedVoidVersion = 0;
     me.writtenNonce = 0;
     me.writtenAttempt = 0;
     me.expected = 0;
@@ -143,13 +143,13 @@
 
 inline writeVoid(at) {
     newNonce(me.writtenNonce);
-    me.writtenAttempt = max(me.sealedAttempt, attemptOf(me.request));
+    me.writtenAttempt = max(me.highestVoidedAttempt, attemptOf(me.request));
     me.expected = at;
-    me.voidMayLandOver = at;
-    me.phase = Sealing
+    me.delayedVoidVersion = at;
+    me.phase = VoidingClaim
 }
 
-inline proceedFromNone() {
+inline proceedWithoutClaim() {
     me.version = 0;
     if
     :: me.wantsRun -> writeClaim(0)
@@ -159,7 +159,7 @@
 
 inline proceedFromVoid() {
     me.claimNonce = 0;
-    me.possession = Nothing;
+    me.ownership = Nothing;
     if
     :: me.wantsRun -> writeClaim(me.version)
     :: else -> writeVoid(me.version)
@@ -170,10 +170,10 @@
 inline dispatch() {
     if
     :: me.phase = Running;
-       me.sealedAttempt = 0;
+       me.highestVoidedAttempt = 0;
        me.writtenNonce = 0;
        me.writtenAttempt = 0;
-       me.voidMayLandOver = 0;
+       me.delayedVoidVersion = 0;
        me.expected = 0;
        me.tries = 0;
        toTarget!r, me.incarnation
@@ -187,8 +187,8 @@
 #ifdef MUTANT_LATE_VOID
     :: me.wantsRun -> dispatch()
 #else
-    :: me.wantsRun && me.voidMayLandOver != me.version -> dispatch()
-    :: me.wantsRun && me.voidMayLandOver == me.version -> writeClaim(me.version)
+    :: me.wantsRun && me.delayedVoidVersion != me.version -> dispatch()
+    :: me.wantsRun && me.delayedVoidVersion == me.version -> writeClaim(me.version)
 #endif
     /* The deadline has passed. */
     :: writeVoid(me.version)
@@ -196,41 +196,41 @@
 }
 
 /* Nothing was dispatched here; earlier requests may have run elsewhere. */
-inline answerNotStarted() {
+inline answerNotDispatched() {
 #ifdef MUTANT_STORE_DOWN_NOT_RUN
     answerCall(NotRun)
 #else
     if
-    :: attemptOf(me.request) > 0 && attemptOf(me.request) <= me.sealedAttempt + 1 ->
-        me.sealedAttempt = max(me.sealedAttempt, attemptOf(me.request));
+    :: attemptOf(me.request) > 0 && attemptOf(me.request) <= me.highestVoidedAttempt + 1 ->
+        me.highestVoidedAttempt = max(me.highestVoidedAttempt, attemptOf(me.request));
         answerCall(NotRun)
     :: else -> answerCall(Unknown)
     fi
 #endif
 }
 
-inline giveUpWriting() {
+inline handleStoreFailure() {
     if
-    :: me.phase == Checking && me.possession == Nothing ->
+    :: me.phase == Checking && me.ownership == Nothing ->
         answerCall(Unknown);
-        forget()
+        removeCall()
     :: else ->
-        answerNotStarted();
+        answerNotDispatched();
         if
-        :: me.possession != Nothing -> me.phase = Held
-        :: me.possession == Nothing && me.version != 0 ->
+        :: me.ownership != Nothing -> me.phase = HeldUndispatched
+        :: me.ownership == Nothing && me.version != 0 ->
             me.claimNonce = 0;
-            me.phase = Sealed
-        :: else -> forget()
+            me.phase = ClaimVoided
+        :: else -> removeCall()
         fi
     fi
 }
 
-inline handleSealed() {
-    me.sealedAttempt = max(me.sealedAttempt, me.writtenAttempt);
+inline handleVoidApplied() {
+    me.highestVoidedAttempt = max(me.highestVoidedAttempt, me.writtenAttempt);
     me.claimNonce = 0;
-    me.possession = Nothing;
-    me.phase = Sealed;
+    me.ownership = Nothing;
+    me.phase = ClaimVoided;
     answerCall(NotRun)
 }
 
@@ -274,17 +274,17 @@
                toTarget!r, me.incarnation
             :: answerCall(NotRun);
 #ifndef MUTANT_TICKET_NOT_USED_UP
-               me.phase = UsedUp
+               me.phase = Consumed
 #endif
             fi
         :: me.phase == Idle && !me.wantsRun ->
             answerCall(NotRun);
 #ifndef MUTANT_TICKET_NOT_USED_UP
-            me.phase = UsedUp
+            me.phase = Consumed
 #endif
         :: me.phase == Done -> answerCall(Ran)
         :: me.phase == Uncertain -> answerCall(Unknown)
-        :: me.phase == UsedUp -> answerCall(NotRun)
+        :: me.phase == Consumed -> answerCall(NotRun)
         fi
     fi
 }
@@ -294,20 +294,20 @@
     :: me.phase == Done -> answerCall(Ran)
     :: me.phase == Uncertain -> answerCall(Unknown)
 #ifndef MUTANT_OVERTAKEN_NUMBER
-    :: me.phase == Sealed && isOvertaken -> answerCall(NotRun)
-    :: me.phase == Held && isOvertaken && attemptOf(me.request) > 0 -> answerCall(NotRun)
-    :: me.phase == Held && (!isOvertaken || attemptOf(me.request) == 0) -> me.phase = Checking
-    :: me.phase == Sealed && !isOvertaken ->
+    :: me.phase == ClaimVoided && isOvertaken -> answerCall(NotRun)
+    :: me.phase == HeldUndispatched && isOvertaken && attemptOf(me.request) > 0 -> answerCall(NotRun)
+    :: me.phase == HeldUndispatched && (!isOvertaken || attemptOf(me.request) == 0) -> me.phase = Checking
+    :: me.phase == ClaimVoided && !isOvertaken ->
 #else
-    :: me.phase == Held -> me.phase = Checking
-    :: me.phase == Sealed ->
+    :: me.phase == HeldUndispatched -> me.phase = Checking
+    :: me.phase == ClaimVoided ->
 #endif
         proceedFromVoid()
     :: me.phase == Idle ->
         if
         :: attemptOf(me.request) == 1 && !me.wantsRun -> answerCall(NotRun)
         :: attemptOf(me.request) == 0 && !me.wantsRun -> answerCall(Unknown)
-        :: else -> proceedFromNone()
+        :: else -> proceedWithoutClaim()
         fi
     fi
 }
@@ -329,17 +329,17 @@
 inline handleClaimWritten() {
     me.tries++;
     if
-    :: me.tries > MAX_TRIES -> giveUpWriting()
+    :: me.tries > MAX_TRIES -> handleStoreFailure()
     :: else ->
         if
         :: storeVersion == me.expected ->
             store(Claimed, me.claimNonce, 0, me.incarnation);
             if
             :: me.version = storeVersion;
-               me.possession = Certain;
+               me.ownership = Confirmed;
                proceedFromOwnClaim()
             /* Unsure: the reply was lost after the write. */
-            :: me.possession = Maybe;
+            :: me.ownership = Possible;
                me.phase = Checking
             fi
         :: storeVersion != me.expected ->
@@ -350,12 +350,12 @@
             me.phase = Checking
 #endif
         /* NotApplied: the store is down. */
-        :: giveUpWriting()
+        :: handleStoreFailure()
         /* Unsure: lost before the write, or to land late. */
-        :: me.possession = Maybe;
+        :: me.ownership = Possible;
            me.phase = Checking
         :: !hasDelayed && mayFail -> delayWrite(Claimed, me.claimNonce, 0);
-           me.possession = Maybe;
+           me.ownership = Possible;
            me.phase = Checking
         fi
     fi
@@ -364,18 +364,18 @@
 inline handleVoidWritten() {
     me.tries++;
     if
-    :: me.tries > MAX_TRIES -> giveUpWriting()
+    :: me.tries > MAX_TRIES -> handleStoreFailure()
     :: else ->
         if
         :: storeVersion == me.expected ->
             store(Voided, me.writtenNonce, me.writtenAttempt, me.incarnation);
             if
             :: me.version = storeVersion;
-               handleSealed()
+               handleVoidApplied()
             :: me.phase = Checking
             fi
         :: storeVersion != me.expected -> me.phase = Checking
-        :: giveUpWriting()
+        :: handleStoreFailure()
         :: me.phase = Checking
         :: !hasDelayed && mayFail -> delayWrite(Voided, me.writtenNonce, me.writtenAttempt);
            me.phase = Checking
@@ -394,10 +394,10 @@
         me.request = 0
     :: answerCall(Unknown)
     fi;
-    forget()
+    removeCall()
 }
 
-inline meetClaim() {
+inline handleExistingClaim() {
     if
     :: claimOwner != r -> forward()
 #ifdef MUTANT_RESTART_KEEPS_CLAIM
@@ -410,12 +410,12 @@
 #endif
 #endif
         me.version = storeVersion;
-        me.possession = Certain;
+        me.ownership = Confirmed;
         proceedFromOwnClaim()
 #ifndef MUTANT_RESTART_KEEPS_CLAIM
     :: else ->
         answerCall(Unknown);
-        forget()
+        removeCall()
 #endif
     fi
 }
@@ -423,25 +423,25 @@
 inline handleRead() {
     if
     /* Not answered: the store is down. */
-    :: giveUpWriting()
-    :: claimState == NoClaim -> proceedFromNone()
-    :: claimState == Claimed -> meetClaim()
+    :: handleStoreFailure()
+    :: claimState == NoClaim -> proceedWithoutClaim()
+    :: claimState == Claimed -> handleExistingClaim()
     :: claimState == RecordedDone ->
         answerCall(Ran);
-        forget()
+        removeCall()
     :: claimState == Voided ->
         me.version = storeVersion;
-        me.sealedAttempt = max(me.sealedAttempt, claimAttempt);
+        me.highestVoidedAttempt = max(me.highestVoidedAttempt, claimAttempt);
         if
-        :: isOwnVoid -> handleSealed()
+        :: isOwnVoid -> handleVoidApplied()
         :: else ->
             if
 #ifndef MUTANT_OVERTAKEN_NUMBER
             :: isOvertaken ->
                 answerCall(NotRun);
                 me.claimNonce = 0;
-                me.possession = Nothing;
-                me.phase = Sealed
+                me.ownership = Nothing;
+                me.phase = ClaimVoided
 #endif
             :: else -> proceedFromVoid()
             fi
@@ -467,7 +467,7 @@
             me.phase = Uncertain;
             me.version = 0;
             me.claimNonce = 0;
-            me.possession = Nothing;
+            me.ownership = Nothing;
             answerCall(Unknown)
 #endif
         fi
@@ -483,7 +483,7 @@
     fi;
     me.version = 0;
     me.claimNonce = 0;
-    me.possession = Nothing
+    me.ownership = Nothing
 }
 
 inline emptyInbox(box) {
@@ -519,7 +519,7 @@
         fi;
         receive() }
     :: atomic { me.phase == Claiming -> handleClaimWritten() }
-    :: atomic { me.phase == Sealing -> handleVoidWritten() }
+    :: atomic { me.phase == VoidingClaim -> handleVoidWritten() }
     :: atomic { me.phase == Checking -> handleRead() }
     :: atomic { nempty(reports) -> reports?incarnation, result; handleReport(incarnation, result);
         incarnation = 0; result = 0 }
@@ -527,7 +527,7 @@
     /* Memory is bounded: what is settled may be forgotten. Tickets are kept while they are valid. */
     :: atomic { mayForget ->
         hasForgotten = true;
-        forget() }
+        removeCall() }
     :: atomic { me.late ->
         if
         :: storeVersion == me.lateExpected ->
@@ -541,7 +541,7 @@
         hasRestarted = true;
         me.incarnation++;
         me.request = 0;
-        forget();
+        removeCall();
         me.lastNonce = 0;
         emptyInbox(inbox) }
     od
@@ -556,7 +556,7 @@
         if
         :: runs++;
            assert(runs <= 1);
-           assert(!toldNotRun);
+           assert(!wasReportedNotRun);
            if
            :: reportTo(Answered)
            :: reportTo(FailedMaybe)
@@ -576,7 +576,7 @@
     :: atomic { !finished && lastRequest < MAX_REQUESTS ->
         lastRequest++;
         openRequest = lastRequest;
-        toldNotRun = false;
+        wasReportedNotRun = false;
         if
         :: nfull(inbox0) -> inbox0!lastRequest, FromCaller
         /* The routers are alike, but for tickets: the first request goes to router 0. */
--- a/Tests/LibLedger/FakeCallWorld.cpp
+++ b/Tests/LibLedger/FakeCallCluster.cpp
@@ -1,6 +1,6 @@
 // Behaviour of the fakes, and the checks at each run and each answer.
 
-#include <LibLedger/FakeCallWorld.h>
+#include <LibLedger/FakeCallCluster.h>
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 namespace detail {
 
-constexpr std::size_t routers = 3;
+constexpr std::size_t routerCount = 3;
 constexpr int bookingsPerRun = 12;
 constexpr int maxRequests = 12;
 constexpr absl::Duration storeTimeout = absl::Seconds(1);
@@ -28,30 +28,30 @@
     faults += other.faults;
 }
 
-FakeCallWorld::FakeCallWorld(std::uint64_t seed)
-    : m_random(seed), m_processes(detail::routers), m_faultsEnd(m_time.now() + absl::Minutes(4))
+FakeCallCluster::FakeCallCluster(std::uint64_t seed)
+    : m_random(seed), m_processes(detail::routerCount), m_faultsEnd(m_time.now() + absl::Minutes(4))
 {
     for (auto &it : m_processes)
         start(it);
 }
 
-std::string FakeCallWorld::run()
+std::string FakeCallCluster::run()
 {
     for (int n = 0; n < detail::bookingsPerRun; ++n)
-        m_time.after(m_random.between(absl::ZeroDuration(), absl::Minutes(5)), [this] { book(); });
+        m_time.after(m_random.between(absl::ZeroDuration(), absl::Minutes(5)), [this] { startBooking(); });
     m_time.after(absl::Seconds(1), [this] { injectFault(); });
     const absl::Time end = m_time.now() + absl::Minutes(30);
-    while (m_broken.empty() && m_time.runNext(end)) { }
-    return m_broken;
+    while (m_violation.empty() && m_time.runNext(end)) { }
+    return m_violation;
 }
 
-void FakeCallWorld::breakWith(std::size_t booking, const std::string &reason)
+void FakeCallCluster::reportViolation(std::size_t booking, const std::string &reason)
 {
-    if (m_broken.empty())
-        m_broken = "booking " + m_bookings[booking].key.value() + ": " + reason;
+    if (m_violation.empty())
+        m_violation = "booking " + m_bookings[booking].key.value() + ": " + reason;
 }
 
-void FakeCallWorld::start(Process &process)
+void FakeCallCluster::start(Process &process)
 {
     ++process.incarnation;
     process.random = std::make_unique<SeededRandom>(m_random.source().next());
@@ -66,7 +66,7 @@
     process.lastCall = 0;
 }
 
-void FakeCallWorld::deliver(std::size_t process, std::uint64_t incarnation, const VirtualTime::Step &step)
+void FakeCallCluster::deliver(std::size_t process, std::uint64_t incarnation, const VirtualTime::Step &step)
 {
     Process &to = m_processes[process];
     if (to.incarnation != incarnation)
@@ -77,19 +77,19 @@
         step();
 }
 
-void FakeCallWorld::report(std::size_t process, std::uint64_t incarnation, const LedgerEvent &event)
+void FakeCallCluster::report(std::size_t process, std::uint64_t incarnation, const LedgerEvent &event)
 {
     deliver(process, incarnation, [this, process, event] { handle(process, event); });
 }
 
-void FakeCallWorld::handle(std::size_t process, const LedgerEvent &event)
+void FakeCallCluster::handle(std::size_t process, const LedgerEvent &event)
 {
     for (const auto &it : m_processes[process].ledger->handle(event, m_time.now()))
         perform(process, it);
     scheduleTick(process);
 }
 
-void FakeCallWorld::scheduleTick(std::size_t process)
+void FakeCallCluster::scheduleTick(std::size_t process)
 {
     const Process &of = m_processes[process];
     const absl::Time due = of.ledger->nextWakeUp();
@@ -104,7 +104,7 @@
                  });
 }
 
-void FakeCallWorld::perform(std::size_t process, const LedgerAction &action)
+void FakeCallCluster::perform(std::size_t process, const LedgerAction &action)
 {
     if (const auto *it = std::get_if<WriteClaim>(&action))
         writeClaim(process, *it);
@@ -118,14 +118,14 @@
         answer(process, *it);
 }
 
-void FakeCallWorld::writeClaim(std::size_t process, const WriteClaim &write)
+void FakeCallCluster::writeClaim(std::size_t process, const WriteClaim &write)
 {
     const std::uint64_t incarnation = m_processes[process].incarnation;
-    const bool lost = isFaulty() && m_random.oneIn(5);
+    const bool lost = areFaultsEnabled() && m_random.oneIn(5);
     if (lost) {
         ++m_counts.lostReplies;
         m_time.after(detail::storeTimeout, [this, process, incarnation, call = write.call] {
-            report(process, incarnation, ClaimWritten{call, WriteResult::Unsure});
+            report(process, incarnation, ClaimWritten{call, ClaimWriteResult::Indeterminate});
         });
         // The write itself may be lost, too, or land long after the client gave it up.
         if (m_random.oneIn(3))
@@ -135,13 +135,13 @@
     const absl::Duration delay =
         late ? m_random.between(absl::ZeroDuration(), absl::Minutes(1)) : m_random.networkDelay();
     m_time.after(delay, [this, process, incarnation, write, lost] {
-        ClaimWritten event{write.call, WriteResult::NotApplied};
+        ClaimWritten event{write.call, ClaimWriteResult::NotApplied};
         if (m_time.now() >= m_storeDownUntil) {
-            Stored &stored = m_store[write.name];
-            event.result = WriteResult::Conflict;
+            StoredClaim &stored = m_store[write.name];
+            event.result = ClaimWriteResult::Conflict;
             if (stored.version == write.expected) {
-                stored = Stored{write.record, ObjectVersion(++m_lastVersion)};
-                event = ClaimWritten{write.call, WriteResult::Applied, stored.version};
+                stored = StoredClaim{write.record, ObjectVersion(++m_lastVersion)};
+                event = ClaimWritten{write.call, ClaimWriteResult::Applied, stored.version};
             }
         }
         if (!lost)
@@ -150,12 +150,12 @@
     });
 }
 
-void FakeCallWorld::readClaim(std::size_t process, const ReadClaim &read)
+void FakeCallCluster::readClaim(std::size_t process, const ReadClaim &read)
 {
     const std::uint64_t incarnation = m_processes[process].incarnation;
     m_time.after(m_random.networkDelay(), [this, process, incarnation, read] {
         ClaimRead event{read.call};
-        event.answered = m_time.now() >= m_storeDownUntil && !(isFaulty() && m_random.oneIn(10));
+        event.answered = m_time.now() >= m_storeDownUntil && !(areFaultsEnabled() && m_random.oneIn(10));
         auto it = m_store.find(read.name);
         if (event.answered && it != m_store.end() && it->second.version != ObjectVersion()) {
             event.record = it->second.record;
@@ -166,44 +166,44 @@
     });
 }
 
-void FakeCallWorld::dispatch(std::size_t process, const Dispatch &dispatch)
+void FakeCallCluster::dispatch(std::size_t process, const Dispatch &dispatch)
 {
     const std::uint64_t incarnation = m_processes[process].incarnation;
     const CallId call = dispatch.call;
     const auto request = m_processes[process].requests.find(call);
     if (request == m_processes[process].requests.end()) {
-        m_broken = "a dispatch of a call that was answered or never made";
+        m_violation = "a dispatch of a call that was answered or never made";
         return;
     }
     const auto booking = static_cast<std::size_t>(request->second.digest.value());
-    enum class Fate { Answered, RefusedUnsent, DroppedBefore, DroppedAfter };
-    Fate fate = Fate::Answered;
-    if (m_random.oneIn(isFaulty() ? 3 : 1000000))
-        fate = static_cast<Fate>(1 + m_random.below(3));
-    if (fate == Fate::RefusedUnsent)
+    enum class DispatchResult { Answered, RejectedUnsent, DroppedBeforeRun, DroppedAfterRun };
+    DispatchResult dispatchResult = DispatchResult::Answered;
+    if (m_random.oneIn(areFaultsEnabled() ? 3 : 1000000))
+        dispatchResult = static_cast<DispatchResult>(1 + m_random.below(3));
+    if (dispatchResult == DispatchResult::RejectedUnsent)
         return m_time.after(m_random.networkDelay(), [this, process, incarnation, call] {
             report(process, incarnation, DispatchFailed{call, BytesSent::None});
         });
-    m_time.after(m_random.networkDelay(), [this, process, incarnation, call, booking, fate] {
-        if (fate != Fate::DroppedBefore)
+    m_time.after(m_random.networkDelay(), [this, process, incarnation, call, booking, dispatchResult] {
+        if (dispatchResult != DispatchResult::DroppedBeforeRun)
             runAtTarget(booking);
-        const absl::Duration slow = m_random.networkDelay();
-        if (fate == Fate::Answered)
-            return m_time.after(slow, [this, process, incarnation, call, booking] {
+        const absl::Duration replyDelay = m_random.networkDelay();
+        if (dispatchResult == DispatchResult::Answered)
+            return m_time.after(replyDelay, [this, process, incarnation, call, booking] {
                 report(process, incarnation, TargetAnswered{call, 200, std::to_string(booking)});
             });
-        m_time.after(slow, [this, process, incarnation, call] {
+        m_time.after(replyDelay, [this, process, incarnation, call] {
             report(process, incarnation, DispatchFailed{call, BytesSent::Maybe});
         });
         // Late, after the failure was reported.
-        if (fate == Fate::DroppedAfter && m_random.oneIn(2))
-            m_time.after(slow + absl::Seconds(1), [this, process, incarnation, call, booking] {
+        if (dispatchResult == DispatchResult::DroppedAfterRun && m_random.oneIn(2))
+            m_time.after(replyDelay + absl::Seconds(1), [this, process, incarnation, call, booking] {
                 report(process, incarnation, TargetAnswered{call, 200, std::to_string(booking)});
             });
     });
 }
 
-void FakeCallWorld::forward(std::size_t process, const ForwardToOwner &forward)
+void FakeCallCluster::forward(std::size_t process, const ForwardToOwner &forward)
 {
     const std::uint64_t incarnation = m_processes[process].incarnation;
     const CallReceived request = m_processes[process].requests.at(forward.call);
@@ -211,11 +211,11 @@
     m_time.after(detail::peerTimeout, [this, process, incarnation, call = forward.call] {
         report(process, incarnation, OwnerAnswered{call, std::nullopt});
     });
-    if (m_time.now() < m_cuts[{process, owner}])
+    if (m_time.now() < m_partitions[{process, owner}])
         return;
-    ReplyTo reply;
+    ReplyDestination reply;
     reply.peer = [this, process, incarnation, owner, call = forward.call](const CallAnswer &answer) {
-        if (m_time.now() >= m_cuts[{owner, process}])
+        if (m_time.now() >= m_partitions[{owner, process}])
             m_time.after(m_random.networkDelay(), [this, process, incarnation, call, answer] {
                 report(process, incarnation, OwnerAnswered{call, answer});
             });
@@ -229,7 +229,7 @@
     });
 }
 
-void FakeCallWorld::receive(std::size_t process, std::size_t, ReplyTo reply, CallReceived received)
+void FakeCallCluster::receive(std::size_t process, std::size_t, ReplyDestination reply, CallReceived received)
 {
     Process &to = m_processes[process];
     received.call = CallId(++to.lastCall);
@@ -238,34 +238,35 @@
     handle(process, received);
 }
 
-void FakeCallWorld::answer(std::size_t process, const AnswerCall &action)
+void FakeCallCluster::answer(std::size_t process, const AnswerCall &action)
 {
     Process &from = m_processes[process];
     auto it = from.replies.find(action.call);
     if (it == from.replies.end()) {
-        m_broken = "a call was answered twice";
+        m_violation = "a call was answered twice";
         return;
     }
-    const ReplyTo reply = it->second;
+    const ReplyDestination reply = it->second;
     from.replies.erase(it);
     // The host forgets a call once it is answered, so that a dispatch must name one that still waits.
     from.requests.erase(action.call);
     if (reply.peer)
         return reply.peer(action.answer);
-    m_time.after(m_random.networkDelay(),
-                 [this, reply, answer = action.answer] { hear(reply.booking, reply.request, answer); });
+    m_time.after(m_random.networkDelay(), [this, reply, answer = action.answer] {
+        receiveAnswer(reply.booking, reply.request, answer);
+    });
 }
 
-void FakeCallWorld::runAtTarget(std::size_t booking)
+void FakeCallCluster::runAtTarget(std::size_t booking)
 {
     ++m_counts.runs;
     if (++m_bookings[booking].runs > 1)
-        breakWith(booking, "it ran twice");
-    if (m_bookings[booking].toldNotRun)
-        breakWith(booking, "it ran after not_run, without a new request");
+        reportViolation(booking, "it ran twice");
+    if (m_bookings[booking].wasReportedNotRun)
+        reportViolation(booking, "it ran after not_run, without a new request");
 }
 
-void FakeCallWorld::book()
+void FakeCallCluster::startBooking()
 {
     const std::size_t n = m_bookings.size();
     ++m_counts.bookings;
@@ -275,43 +276,43 @@
     request(n);
 }
 
-void FakeCallWorld::request(std::size_t n)
+void FakeCallCluster::request(std::size_t n)
 {
     Booking &booking = m_bookings[n];
     if (booking.finished || ++booking.requests > detail::maxRequests)
         return;
     ++m_counts.requests;
-    auto router = static_cast<std::size_t>(m_random.below(detail::routers));
+    auto router = static_cast<std::size_t>(m_random.below(detail::routerCount));
     const bool needsTicket = booking.kind == KeyKind::Ticket && booking.attempt == 0;
     if (needsTicket)
         booking.key = m_processes[router].ledger->issueTicket(m_time.now());
-    booking.toldNotRun = false;
+    booking.wasReportedNotRun = false;
     ++booking.attempt;
     const std::uint64_t request = booking.request = ++m_lastRequest;
     CallReceived received{CallId(), WorkspaceName("w"), ServiceName("s"), booking.key, BodyDigest(n)};
     received.attempt = booking.kind == KeyKind::Numbered ? booking.attempt : 0;
-    const absl::Duration patience = m_random.between(absl::Seconds(1), absl::Seconds(8));
+    const absl::Duration timeout = m_random.between(absl::Seconds(1), absl::Seconds(8));
     const absl::Duration delay = m_random.networkDelay();
     const std::uint64_t incarnation = m_processes[router].incarnation;
-    m_time.after(delay, [this, n, request, router, incarnation, received, patience] {
-        deliver(router, incarnation, [this, n, request, router, received, patience] {
+    m_time.after(delay, [this, n, request, router, incarnation, received, timeout] {
+        deliver(router, incarnation, [this, n, request, router, received, timeout] {
             CallReceived it = received;
-            it.deadline = m_time.now() + patience;
-            receive(router, n, ReplyTo{n, request}, it);
+            it.deadline = m_time.now() + timeout;
+            receive(router, n, ReplyDestination{n, request}, it);
         });
     });
     // The caller gives the request up, which may live on.
-    m_time.after(patience, [this, n, request] {
+    m_time.after(timeout, [this, n, request] {
         if (m_bookings[n].request == request)
             this->request(n);
     });
 }
 
-void FakeCallWorld::hear(std::size_t n, std::uint64_t request, const CallAnswer &answer)
+void FakeCallCluster::receiveAnswer(std::size_t n, std::uint64_t request, const CallAnswer &answer)
 {
     Booking &booking = m_bookings[n];
     if (answer.outcome == CallOutcome::Ran && (answer.body != std::to_string(n) || booking.runs != 1))
-        breakWith(n, "a foreign answer, or one without a run");
+        reportViolation(n, "a foreign answer, or one without a run");
     if (booking.request != request)
         return;
     booking.request = 0;
@@ -323,8 +324,8 @@
     case CallOutcome::NotRun:
         ++m_counts.notRun;
         if (booking.runs > 0)
-            breakWith(n, "not_run was said of a call that ran");
-        booking.toldNotRun = true;
+            reportViolation(n, "not_run was said of a call that ran");
+        booking.wasReportedNotRun = true;
         // A refused ticket is replaced, as is a key whose requests bear no number.
         if (booking.kind == KeyKind::Ticket)
             booking.attempt = 0;
@@ -338,7 +339,7 @@
     retryLater(n);
 }
 
-void FakeCallWorld::retryLater(std::size_t n)
+void FakeCallCluster::retryLater(std::size_t n)
 {
     m_time.after(m_random.between(absl::Milliseconds(50), absl::Seconds(20)), [this, n] {
         if (m_bookings[n].request == 0)
@@ -346,19 +347,19 @@
     });
 }
 
-void FakeCallWorld::injectFault()
+void FakeCallCluster::injectFault()
 {
-    if (!isFaulty())
+    if (!areFaultsEnabled())
         return;
     ++m_counts.faults;
-    const auto n = static_cast<std::size_t>(m_random.below(detail::routers));
+    const auto n = static_cast<std::size_t>(m_random.below(detail::routerCount));
     Process &process = m_processes[n];
     const absl::Time until = m_time.now() + m_random.between(absl::Milliseconds(100), absl::Seconds(20));
     switch (m_random.below(6)) {
     case 0:
     case 1:
         process.pausedUntil = until;
-        m_time.after(until - m_time.now(), [this, n] { wake(n); });
+        m_time.after(until - m_time.now(), [this, n] { resumeProcess(n); });
         break;
     case 2:
         start(process);
@@ -367,7 +368,7 @@
         m_storeDownUntil = m_time.now() + m_random.between(absl::ZeroDuration(), absl::Minutes(2));
         break;
     case 4:
-        m_cuts[{n, (n + 1 + m_random.below(detail::routers - 1)) % detail::routers}] = until;
+        m_partitions[{n, (n + 1 + m_random.below(detail::routerCount - 1)) % detail::routerCount}] = until;
         break;
     default:
         deliver(n, process.incarnation, [this, n] { handle(n, LedgerDrainStarted{}); });
@@ -380,13 +381,13 @@
     m_time.after(m_random.between(absl::Milliseconds(100), absl::Seconds(10)), [this] { injectFault(); });
 }
 
-void FakeCallWorld::wake(std::size_t process)
+void FakeCallCluster::resumeProcess(std::size_t process)
 {
-    Process &woken = m_processes[process];
-    if (m_time.now() < woken.pausedUntil)
+    Process &resumed = m_processes[process];
+    if (m_time.now() < resumed.pausedUntil)
         return;
     std::deque<VirtualTime::Step> inbox;
-    inbox.swap(woken.inbox);
+    inbox.swap(resumed.inbox);
     for (const auto &it : inbox)
         it();
     handle(process, LedgerTick{});
--- a/Tests/LibLedger/FakeCallWorld.h
+++ b/Tests/LibLedger/FakeCallCluster.h
@@ -27,10 +27,10 @@
     void add(const CallCounts &other);
 };
 
-class FakeCallWorld
+class FakeCallCluster
 {
 public:
-    explicit FakeCallWorld(std::uint64_t seed);
+    explicit FakeCallCluster(std::uint64_t seed);
 
     // Runs with faults, then without them; returns what was broken, or nothing.
     [[nodiscard]] std::string run();
@@ -48,12 +48,12 @@
         int requests{0};
         int runs{0};
         // Told NotRun, with no new request since.
-        bool toldNotRun{false};
+        bool wasReportedNotRun{false};
         bool finished{false};
     };
 
     // Where the answer to a call goes: to a caller's request or to a peer's call.
-    struct ReplyTo
+    struct ReplyDestination
     {
         std::size_t booking{0};
         std::uint64_t request{0};
@@ -68,12 +68,12 @@
         absl::Time pausedUntil{absl::InfinitePast()};
         bool draining{false};
         std::deque<VirtualTime::Step> inbox;
-        std::map<CallId, ReplyTo> replies;
+        std::map<CallId, ReplyDestination> replies;
         std::map<CallId, CallReceived> requests;
         std::uint64_t lastCall{0};
     };
 
-    struct Stored
+    struct StoredClaim
     {
         ClaimRecord record;
         ObjectVersion version;
@@ -91,33 +91,33 @@
     void dispatch(std::size_t process, const Dispatch &);
     void forward(std::size_t process, const ForwardToOwner &);
     void answer(std::size_t process, const AnswerCall &);
-    void receive(std::size_t process, std::size_t booking, ReplyTo, CallReceived);
+    void receive(std::size_t process, std::size_t booking, ReplyDestination, CallReceived);
 
     // Target and callers.
     void runAtTarget(std::size_t booking);
-    void book();
+    void startBooking();
     void request(std::size_t booking);
-    void hear(std::size_t booking, std::uint64_t request, const CallAnswer &);
+    void receiveAnswer(std::size_t booking, std::uint64_t request, const CallAnswer &);
     void retryLater(std::size_t booking);
 
     void injectFault();
-    void wake(std::size_t process);
-    [[nodiscard]] bool isFaulty() const { return m_time.now() < m_faultsEnd; }
-    void breakWith(std::size_t booking, const std::string &);
+    void resumeProcess(std::size_t process);
+    [[nodiscard]] bool areFaultsEnabled() const { return m_time.now() < m_faultsEnd; }
+    void reportViolation(std::size_t booking, const std::string &);
 
     VirtualTime m_time;
     TestRandom m_random;
     std::vector<Process> m_processes;
     std::vector<Booking> m_bookings;
-    std::map<ClaimName, Stored> m_store;
+    std::map<ClaimName, StoredClaim> m_store;
     std::uint64_t m_lastRequest{0};
     std::uint64_t m_lastVersion{0};
     absl::Time m_storeDownUntil{absl::InfinitePast()};
     // One-way cuts between routers, by (from, to).
-    std::map<std::pair<std::size_t, std::size_t>, absl::Time> m_cuts;
+    std::map<std::pair<std::size_t, std::size_t>, absl::Time> m_partitions;
     absl::Time m_faultsEnd;
     CallCounts m_counts;
-    std::string m_broken;
+    std::string m_violation;
 };
 
 } // namespace Wisteria
--- a/Tests/LibLedger/TestCallOrders.cpp
+++ b/Tests/LibLedger/TestCallEventOrders.cpp
@@ -1,6 +1,6 @@
 // Seeded event orders over several routers' ledgers: at most one run, and truthful answers, under all faults.
 
-#include <LibLedger/FakeCallWorld.h>
+#include <LibLedger/FakeCallCluster.h>
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,29 +9,29 @@
 
 namespace Wisteria {
 
-class TestCallOrders : public CppUnit::TestFixture
+class TestCallEventOrders : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestCallOrders);
-    CPPUNIT_TEST(runsAtMostOnceAndTellsTheTruth);
+    CPPUNIT_TEST_SUITE(TestCallEventOrders);
+    CPPUNIT_TEST(runsAtMostOnceAndReportsActualOutcome);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void runsAtMostOnceAndTellsTheTruth()
+    void runsAtMostOnceAndReportsActualOutcome()
     {
         CallCounts sum;
-        const std::string broken = firstBrokenSeed(4000, [&](std::uint64_t seed) {
-            FakeCallWorld world(seed);
-            std::string it = world.run();
-            sum.add(world.counts());
+        const std::string violation = firstBrokenSeed(4000, [&](std::uint64_t seed) {
+            FakeCallCluster cluster(seed);
+            std::string it = cluster.run();
+            sum.add(cluster.counts());
             return it;
         });
         std::cout << "bookings " << sum.bookings << ", requests " << sum.requests << ", runs " << sum.runs
                   << ", answers ran " << sum.ran << ", not_run " << sum.notRun << ", unknown " << sum.unknown
                   << ", lost store replies " << sum.lostReplies << ", other faults " << sum.faults << "\n";
-        CPPUNIT_ASSERT_EQUAL(std::string(), broken);
+        CPPUNIT_ASSERT_EQUAL(std::string(), violation);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestCallOrders);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestCallEventOrders);
 
 } // namespace Wisteria
--- a/Tests/LibLedger/TestCallLedger.cpp
+++ b/Tests/LibLedger/TestCallLedger.cpp
@@ -10,41 +10,41 @@
 class TestCallLedger : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestCallLedger);
-    CPPUNIT_TEST(claimsDispatchesAndRecords);
-    CPPUNIT_TEST(readsBackItsOwnNonceAfterLostReply);
-    CPPUNIT_TEST(saysNotRunWithoutStoreOnlyToFirstRequest);
-    CPPUNIT_TEST(remembersClaimThatCannotBeRead);
-    CPPUNIT_TEST(voidsAfterDeadlineAndPassesOn);
-    CPPUNIT_TEST(saysNotRunWhenNoByteWasSent);
+    CPPUNIT_TEST(claimsDispatchesAndRecordsOutcome);
+    CPPUNIT_TEST(recognizesOwnClaimByNonceAfterLostReply);
+    CPPUNIT_TEST(reportsNotRunWithoutStoreOnlyForFirstRequest);
+    CPPUNIT_TEST(dispatchesOwnClaimOnceReadableAgain);
+    CPPUNIT_TEST(voidsClaimAfterDeadlineAndAllowsTakeover);
+    CPPUNIT_TEST(reportsNotRunWhenNoByteWasSent);
     CPPUNIT_TEST(neverRetriesAfterByteMayHaveBeenSent);
-    CPPUNIT_TEST(forwardsToOwnerAndBelievesIt);
-    CPPUNIT_TEST(saysUnknownForItsEarlierIncarnation);
-    CPPUNIT_TEST(dispatchesConcurrentArrivalsOnce);
-    CPPUNIT_TEST(neverDispatchesForgottenClaimAgain);
-    CPPUNIT_TEST(passesVoidOnToLateJoiner);
-    CPPUNIT_TEST(claimsAnewWhenItsVoidMayLandLate);
-    CPPUNIT_TEST(refusesAnotherBody);
-    CPPUNIT_TEST(retriesRecordingInBackground);
+    CPPUNIT_TEST(forwardsToOwnerAndReturnsItsAnswer);
+    CPPUNIT_TEST(reportsUnknownForClaimOfEarlierIncarnation);
+    CPPUNIT_TEST(dispatchesConcurrentRequestsOnce);
+    CPPUNIT_TEST(neverRedispatchesExpiredClaim);
+    CPPUNIT_TEST(laterRequestTakesOverVoidedClaim);
+    CPPUNIT_TEST(rewritesClaimWhenDelayedVoidMayApply);
+    CPPUNIT_TEST(rejectsDifferentBodyUnderSameKey);
+    CPPUNIT_TEST(retriesOutcomeWriteInBackground);
     CPPUNIT_TEST(finishesRunningCallsOnDrain);
-    CPPUNIT_TEST(dispatchesNothingWhileStale);
-    CPPUNIT_TEST(saysThatLargeBodyWasNotKept);
-    CPPUNIT_TEST(dispatchesTicketOnceWithoutStore);
-    CPPUNIT_TEST(refusesGuessedTickets);
-    CPPUNIT_TEST(neverDispatchesForeignOrOldTickets);
-    CPPUNIT_TEST(usesUpRefusedTickets);
-    CPPUNIT_TEST(readsRecordsBack);
+    CPPUNIT_TEST(dispatchesNothingWithStaleConfiguration);
+    CPPUNIT_TEST(reportsThatLargeBodyWasNotKept);
+    CPPUNIT_TEST(dispatchesTicketedCallOnceWithoutStore);
+    CPPUNIT_TEST(rejectsForgedTickets);
+    CPPUNIT_TEST(neverDispatchesTicketsOfOtherIncarnations);
+    CPPUNIT_TEST(consumesTicketWhenNoTargetAcceptsCall);
+    CPPUNIT_TEST(claimRecordRoundTripsThroughJson);
     CPPUNIT_TEST_SUITE_END();
 
     SeededRandom m_random{7};
     std::unique_ptr<CallLedger> m_ledger;
     absl::Time m_now{absl::UnixEpoch()};
     std::uint64_t m_lastCall{0};
-    LedgerActions m_out;
+    LedgerActions m_actions;
 
     template <typename Event>
     void handle(Event event)
     {
-        m_out = m_ledger->handle(event, m_now);
+        m_actions = m_ledger->handle(event, m_now);
     }
 
     CallReceived request(std::uint32_t attempt = 0, const std::string &key = "k") const
@@ -63,10 +63,10 @@
 
     // The only action of this kind in the last step.
     template <typename Action>
-    const Action &only() const
+    const Action &singleAction() const
     {
         const Action *found = nullptr;
-        for (const auto &it : m_out) {
+        for (const auto &it : m_actions) {
             if (const auto *action = std::get_if<Action>(&it)) {
                 CPPUNIT_ASSERT(!found);
                 found = action;
@@ -77,17 +77,17 @@
     }
 
     template <typename Action>
-    std::size_t count() const
+    std::size_t actionCount() const
     {
         std::size_t n = 0;
-        for (const auto &it : m_out)
+        for (const auto &it : m_actions)
             n += std::holds_alternative<Action>(it);
         return n;
     }
 
     void assertAnswer(CallOutcome outcome, ErrorCode code) const
     {
-        const CallAnswer &answer = only<AnswerCall>().answer;
+        const CallAnswer &answer = singleAction<AnswerCall>().answer;
         CPPUNIT_ASSERT(outcome == answer.outcome);
         CPPUNIT_ASSERT_EQUAL(std::string(errorName(code)), std::string(errorName(answer.error.value().code)));
     }
@@ -96,93 +96,93 @@
     ClaimRecord claimAndDispatch(const CallReceived &received)
     {
         receive(received);
-        ClaimRecord record = only<WriteClaim>().record;
-        handle(ClaimWritten{received.call, WriteResult::Applied, ObjectVersion(1)});
-        CPPUNIT_ASSERT(only<Dispatch>().call == received.call);
+        ClaimRecord record = singleAction<WriteClaim>().record;
+        handle(ClaimWritten{received.call, ClaimWriteResult::Applied, ObjectVersion(1)});
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == received.call);
         return record;
     }
 
 public:
     void setUp() override { m_ledger = CallLedger::create(RouterId("a"), Incarnation(2), m_random); }
 
-    void claimsDispatchesAndRecords()
+    void claimsDispatchesAndRecordsOutcome()
     {
         claimAndDispatch(request());
         CPPUNIT_ASSERT(!m_ledger->isIdle());
         handle(TargetAnswered{CallId(1), 200, "seat 4"});
-        CPPUNIT_ASSERT_EQUAL(std::string("seat 4"), only<AnswerCall>().answer.body);
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Done);
-        CPPUNIT_ASSERT(only<WriteClaim>().expected == ObjectVersion(1));
-        handle(ClaimWritten{CallId(1), WriteResult::Applied, ObjectVersion(2)});
+        CPPUNIT_ASSERT_EQUAL(std::string("seat 4"), singleAction<AnswerCall>().answer.body);
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Done);
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().expected == ObjectVersion(1));
+        handle(ClaimWritten{CallId(1), ClaimWriteResult::Applied, ObjectVersion(2)});
         CPPUNIT_ASSERT(m_ledger->isIdle());
         receive(request());
-        CPPUNIT_ASSERT_EQUAL(std::string("seat 4"), only<AnswerCall>().answer.body);
+        CPPUNIT_ASSERT_EQUAL(std::string("seat 4"), singleAction<AnswerCall>().answer.body);
     }
 
-    void readsBackItsOwnNonceAfterLostReply()
+    void recognizesOwnClaimByNonceAfterLostReply()
     {
         const CallId call = receive(request());
-        const ClaimRecord record = only<WriteClaim>().record;
-        handle(ClaimWritten{call, WriteResult::Unsure});
-        CPPUNIT_ASSERT(only<ReadClaim>().call == call);
+        const ClaimRecord record = singleAction<WriteClaim>().record;
+        handle(ClaimWritten{call, ClaimWriteResult::Indeterminate});
+        CPPUNIT_ASSERT(singleAction<ReadClaim>().call == call);
         handle(ClaimRead{call, true, record, ObjectVersion(3)});
-        CPPUNIT_ASSERT(only<Dispatch>().call == call);
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == call);
     }
 
-    void saysNotRunWithoutStoreOnlyToFirstRequest()
+    void reportsNotRunWithoutStoreOnlyForFirstRequest()
     {
-        handle(ClaimWritten{receive(request(1)), WriteResult::NotApplied});
+        handle(ClaimWritten{receive(request(1)), ClaimWriteResult::NotApplied});
         assertAnswer(CallOutcome::NotRun, ErrorCode::StoreUnavailable);
-        handle(ClaimWritten{receive(request(2, "other")), WriteResult::NotApplied});
+        handle(ClaimWritten{receive(request(2, "other")), ClaimWriteResult::NotApplied});
         assertAnswer(CallOutcome::Unknown, ErrorCode::StoreUnavailable);
-        handle(ClaimWritten{receive(request(0, "third")), WriteResult::NotApplied});
+        handle(ClaimWritten{receive(request(0, "third")), ClaimWriteResult::NotApplied});
         assertAnswer(CallOutcome::Unknown, ErrorCode::StoreUnavailable);
     }
 
-    void remembersClaimThatCannotBeRead()
+    void dispatchesOwnClaimOnceReadableAgain()
     {
         const CallId call = receive(request(1));
-        const ClaimRecord record = only<WriteClaim>().record;
-        handle(ClaimWritten{call, WriteResult::Unsure});
+        const ClaimRecord record = singleAction<WriteClaim>().record;
+        handle(ClaimWritten{call, ClaimWriteResult::Indeterminate});
         handle(ClaimRead{call, false});
         assertAnswer(CallOutcome::NotRun, ErrorCode::StoreOutcomeUnknown);
         receive(request(1));
         assertAnswer(CallOutcome::NotRun, ErrorCode::StoreOutcomeUnknown);
         const CallId again = receive(request(2));
         handle(ClaimRead{again, true, record, ObjectVersion(1)});
-        CPPUNIT_ASSERT(only<Dispatch>().call == again);
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == again);
     }
 
-    void voidsAfterDeadlineAndPassesOn()
+    void voidsClaimAfterDeadlineAndAllowsTakeover()
     {
         const CallId call = receive(request(1));
         m_now += absl::Seconds(6);
-        handle(ClaimWritten{call, WriteResult::Applied, ObjectVersion(1)});
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Voided);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), count<Dispatch>());
-        const ClaimRecord voided = only<WriteClaim>().record;
-        handle(ClaimWritten{call, WriteResult::Applied, ObjectVersion(2)});
+        handle(ClaimWritten{call, ClaimWriteResult::Applied, ObjectVersion(1)});
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Voided);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), actionCount<Dispatch>());
+        const ClaimRecord voided = singleAction<WriteClaim>().record;
+        handle(ClaimWritten{call, ClaimWriteResult::Applied, ObjectVersion(2)});
         assertAnswer(CallOutcome::NotRun, ErrorCode::DeadlineExceeded);
         // A greater number takes over, here and elsewhere. Without a number the void is final.
         auto other = CallLedger::create(RouterId("b"), Incarnation(1), m_random);
         m_ledger.swap(other);
         for (const std::uint32_t attempt : {0, 2}) {
             const CallId elsewhere = receive(request(attempt));
-            handle(ClaimWritten{elsewhere, WriteResult::Conflict});
+            handle(ClaimWritten{elsewhere, ClaimWriteResult::Conflict});
             handle(ClaimRead{elsewhere, true, voided, ObjectVersion(2)});
             if (attempt == 0)
                 assertAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable);
         }
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Claimed);
-        CPPUNIT_ASSERT(only<WriteClaim>().expected == ObjectVersion(2));
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Claimed);
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().expected == ObjectVersion(2));
     }
 
-    void saysNotRunWhenNoByteWasSent()
+    void reportsNotRunWhenNoByteWasSent()
     {
         claimAndDispatch(request());
         handle(DispatchFailed{CallId(1), BytesSent::None});
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Voided);
-        handle(ClaimWritten{CallId(1), WriteResult::Applied, ObjectVersion(2)});
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Voided);
+        handle(ClaimWritten{CallId(1), ClaimWriteResult::Applied, ObjectVersion(2)});
         assertAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable);
     }
 
@@ -196,20 +196,20 @@
         // The answer may still come.
         handle(TargetAnswered{CallId(1), 200, "late"});
         receive(request());
-        CPPUNIT_ASSERT_EQUAL(std::string("late"), only<AnswerCall>().answer.body);
+        CPPUNIT_ASSERT_EQUAL(std::string("late"), singleAction<AnswerCall>().answer.body);
     }
 
-    void forwardsToOwnerAndBelievesIt()
+    void forwardsToOwnerAndReturnsItsAnswer()
     {
         const ClaimRecord foreign{RouterId("b"), Incarnation(9), 5, BodyDigest(1), ClaimState::Claimed};
         for (const bool reached : {true, false}) {
             const CallId call = receive(request());
-            handle(ClaimWritten{call, WriteResult::Conflict});
+            handle(ClaimWritten{call, ClaimWriteResult::Conflict});
             handle(ClaimRead{call, true, foreign, ObjectVersion(1)});
-            CPPUNIT_ASSERT(only<ForwardToOwner>().incarnation == Incarnation(9));
+            CPPUNIT_ASSERT(singleAction<ForwardToOwner>().incarnation == Incarnation(9));
             if (reached) {
                 handle(OwnerAnswered{call, CallAnswer{CallOutcome::Ran, 200, "x"}});
-                CPPUNIT_ASSERT_EQUAL(std::string("x"), only<AnswerCall>().answer.body);
+                CPPUNIT_ASSERT_EQUAL(std::string("x"), singleAction<AnswerCall>().answer.body);
                 continue;
             }
             handle(OwnerAnswered{call, std::nullopt});
@@ -217,68 +217,68 @@
         }
     }
 
-    void saysUnknownForItsEarlierIncarnation()
+    void reportsUnknownForClaimOfEarlierIncarnation()
     {
         const CallId call = receive(request());
-        handle(ClaimWritten{call, WriteResult::Conflict});
+        handle(ClaimWritten{call, ClaimWriteResult::Conflict});
         const ClaimRecord earlier{RouterId("a"), Incarnation(1), 5, BodyDigest(1), ClaimState::Claimed};
         handle(ClaimRead{call, true, earlier, ObjectVersion(1)});
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
     }
 
-    void dispatchesConcurrentArrivalsOnce()
+    void dispatchesConcurrentRequestsOnce()
     {
         const CallId call = receive(request());
         receive(request());
-        CPPUNIT_ASSERT(m_out.empty());
-        handle(ClaimWritten{call, WriteResult::Applied, ObjectVersion(1)});
-        const CallId dispatched = only<Dispatch>().call;
+        CPPUNIT_ASSERT(m_actions.empty());
+        handle(ClaimWritten{call, ClaimWriteResult::Applied, ObjectVersion(1)});
+        const CallId dispatched = singleAction<Dispatch>().call;
         receive(request());
-        CPPUNIT_ASSERT(m_out.empty());
+        CPPUNIT_ASSERT(m_actions.empty());
         handle(TargetAnswered{dispatched, 200, "x"});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), count<AnswerCall>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), actionCount<AnswerCall>());
     }
 
-    void neverDispatchesForgottenClaimAgain()
+    void neverRedispatchesExpiredClaim()
     {
         const ClaimRecord record = claimAndDispatch(request());
         handle(DispatchFailed{CallId(1), BytesSent::Maybe});
         m_now += absl::Minutes(11);
         handle(LedgerTick{});
         const CallId again = receive(request());
-        handle(ClaimWritten{again, WriteResult::Conflict});
+        handle(ClaimWritten{again, ClaimWriteResult::Conflict});
         handle(ClaimRead{again, true, record, ObjectVersion(1)});
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
     }
 
-    void passesVoidOnToLateJoiner()
+    void laterRequestTakesOverVoidedClaim()
     {
         claimAndDispatch(request(1));
         handle(DispatchFailed{CallId(1), BytesSent::None});
         const CallId late = receive(request(2));
-        handle(ClaimWritten{CallId(1), WriteResult::Applied, ObjectVersion(2)});
-        CPPUNIT_ASSERT(only<AnswerCall>().call == CallId(1));
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Claimed);
-        handle(ClaimWritten{late, WriteResult::Applied, ObjectVersion(3)});
-        CPPUNIT_ASSERT(only<Dispatch>().call == late);
+        handle(ClaimWritten{CallId(1), ClaimWriteResult::Applied, ObjectVersion(2)});
+        CPPUNIT_ASSERT(singleAction<AnswerCall>().call == CallId(1));
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Claimed);
+        handle(ClaimWritten{late, ClaimWriteResult::Applied, ObjectVersion(3)});
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == late);
     }
 
-    void claimsAnewWhenItsVoidMayLandLate()
+    void rewritesClaimWhenDelayedVoidMayApply()
     {
         const ClaimRecord record = claimAndDispatch(request());
         handle(DispatchFailed{CallId(1), BytesSent::None});
-        handle(ClaimWritten{CallId(1), WriteResult::Unsure});
+        handle(ClaimWritten{CallId(1), ClaimWriteResult::Indeterminate});
         handle(ClaimRead{CallId(1), false});
         const CallId again = receive(request());
         handle(ClaimRead{again, true, record, ObjectVersion(1)});
         // A dispatch under version 1 could be followed by the void, and by another router's dispatch.
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Claimed);
-        CPPUNIT_ASSERT(only<WriteClaim>().expected == ObjectVersion(1));
-        handle(ClaimWritten{again, WriteResult::Applied, ObjectVersion(2)});
-        CPPUNIT_ASSERT(only<Dispatch>().call == again);
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Claimed);
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().expected == ObjectVersion(1));
+        handle(ClaimWritten{again, ClaimWriteResult::Applied, ObjectVersion(2)});
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == again);
     }
 
-    void refusesAnotherBody()
+    void rejectsDifferentBodyUnderSameKey()
     {
         claimAndDispatch(request());
         CallReceived other = request();
@@ -287,19 +287,20 @@
         assertAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused);
     }
 
-    void retriesRecordingInBackground()
+    void retriesOutcomeWriteInBackground()
     {
         claimAndDispatch(request());
         handle(TargetAnswered{CallId(1), 200, "x"});
         for (int tries = 0; tries < 5; ++tries) {
-            handle(ClaimWritten{CallId(1), tries % 2 ? WriteResult::Unsure : WriteResult::NotApplied});
+            handle(ClaimWritten{CallId(1),
+                                tries % 2 ? ClaimWriteResult::Indeterminate : ClaimWriteResult::NotApplied});
             CPPUNIT_ASSERT(!m_ledger->isIdle());
             CPPUNIT_ASSERT(m_ledger->nextWakeUp() > m_now);
             m_now = m_ledger->nextWakeUp();
             handle(LedgerTick{});
-            CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Done);
+            CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Done);
         }
-        handle(ClaimWritten{CallId(1), WriteResult::Conflict});
+        handle(ClaimWritten{CallId(1), ClaimWriteResult::Conflict});
         CPPUNIT_ASSERT(m_ledger->isIdle());
     }
 
@@ -311,60 +312,60 @@
         assertAnswer(CallOutcome::NotRun, ErrorCode::Draining);
         // A later one may have run elsewhere: only a void of its claim proves that it did not.
         const CallId call = receive(request(2, "second"));
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Voided);
-        handle(ClaimWritten{call, WriteResult::Applied, ObjectVersion(1)});
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Voided);
+        handle(ClaimWritten{call, ClaimWriteResult::Applied, ObjectVersion(1)});
         assertAnswer(CallOutcome::NotRun, ErrorCode::Draining);
         // A void would end the key of a caller that does not number its requests.
         receive(request(0, "without a number"));
         assertAnswer(CallOutcome::Unknown, ErrorCode::Draining);
         handle(TargetAnswered{CallId(1), 200, "x"});
-        CPPUNIT_ASSERT(only<AnswerCall>().answer.outcome == CallOutcome::Ran);
+        CPPUNIT_ASSERT(singleAction<AnswerCall>().answer.outcome == CallOutcome::Ran);
     }
 
-    void dispatchesNothingWhileStale()
+    void dispatchesNothingWithStaleConfiguration()
     {
         const CallReceived claimed = request(1, "claimed");
         receive(claimed);
         const IdempotencyKey ticket = m_ledger->issueTicket(m_now);
-        handle(LedgerFreshnessChanged{false});
+        handle(LedgerConfigurationFreshnessChanged{false});
         receive(request(1, "new"));
         assertAnswer(CallOutcome::NotRun, ErrorCode::ConfigurationStale);
         receive(request(1, ticket.value()));
         assertAnswer(CallOutcome::NotRun, ErrorCode::ConfigurationStale);
         // The router went stale, perhaps over a pause, between the claim and the dispatch.
-        handle(ClaimWritten{claimed.call, WriteResult::Applied, ObjectVersion(1)});
-        CPPUNIT_ASSERT(only<WriteClaim>().record.state == ClaimState::Voided);
-        handle(ClaimWritten{claimed.call, WriteResult::Applied, ObjectVersion(2)});
+        handle(ClaimWritten{claimed.call, ClaimWriteResult::Applied, ObjectVersion(1)});
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Voided);
+        handle(ClaimWritten{claimed.call, ClaimWriteResult::Applied, ObjectVersion(2)});
         assertAnswer(CallOutcome::NotRun, ErrorCode::ConfigurationStale);
-        handle(LedgerFreshnessChanged{true});
+        handle(LedgerConfigurationFreshnessChanged{true});
         claimAndDispatch(request(1, "later"));
     }
 
-    void saysThatLargeBodyWasNotKept()
+    void reportsThatLargeBodyWasNotKept()
     {
         const std::string body(1 << 20, 'x');
         claimAndDispatch(request());
         handle(TargetAnswered{CallId(1), 200, body});
-        CPPUNIT_ASSERT_EQUAL(body, only<AnswerCall>().answer.body);
-        CPPUNIT_ASSERT(only<WriteClaim>().record.bodyKept == BodyKept::No);
+        CPPUNIT_ASSERT_EQUAL(body, singleAction<AnswerCall>().answer.body);
+        CPPUNIT_ASSERT(singleAction<WriteClaim>().record.bodyKept == BodyKept::No);
         receive(request());
         assertAnswer(CallOutcome::Ran, ErrorCode::AnswerLost);
     }
 
-    void dispatchesTicketOnceWithoutStore()
+    void dispatchesTicketedCallOnceWithoutStore()
     {
         const std::string key = m_ledger->issueTicket(m_now).value();
         const CallId call = receive(request(0, key));
-        CPPUNIT_ASSERT(only<Dispatch>().call == call);
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == call);
         receive(request(0, key));
-        CPPUNIT_ASSERT(m_out.empty());
+        CPPUNIT_ASSERT(m_actions.empty());
         handle(TargetAnswered{call, 200, "x"});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), count<AnswerCall>());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), count<WriteClaim>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), actionCount<AnswerCall>());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), actionCount<WriteClaim>());
         // Remembered for as long as the ticket could be used, then refused for good.
         for (int minutes = 0; minutes < 25; ++minutes) {
             receive(request(0, key));
-            CPPUNIT_ASSERT_EQUAL(std::size_t(0), count<Dispatch>());
+            CPPUNIT_ASSERT_EQUAL(std::size_t(0), actionCount<Dispatch>());
             m_now += absl::Minutes(1);
             handle(LedgerTick{});
         }
@@ -372,24 +373,24 @@
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
     }
 
-    void refusesGuessedTickets()
+    void rejectsForgedTickets()
     {
         const std::string key = m_ledger->issueTicket(m_now).value();
-        std::string guessed = key;
-        guessed.back() = guessed.back() == '0' ? '1' : '0';
+        std::string forged = key;
+        forged.back() = forged.back() == '0' ? '1' : '0';
         for (const auto &it :
-             {guessed, std::string("wt1.a.2.1"), std::string("wt1.a.2.01.") + key.substr(10)}) {
+             {forged, std::string("wt1.a.2.1"), std::string("wt1.a.2.01.") + key.substr(10)}) {
             receive(request(0, it));
             assertAnswer(CallOutcome::NotRun, ErrorCode::InvalidRequest);
         }
     }
 
-    void neverDispatchesForeignOrOldTickets()
+    void neverDispatchesTicketsOfOtherIncarnations()
     {
         auto other = CallLedger::create(RouterId("b.x"), Incarnation(4), m_random);
         const CallId call = receive(request(0, other->issueTicket(m_now).value()));
-        CPPUNIT_ASSERT(only<ForwardToOwner>().owner == RouterId("b.x"));
-        CPPUNIT_ASSERT(only<ForwardToOwner>().incarnation == Incarnation(4));
+        CPPUNIT_ASSERT(singleAction<ForwardToOwner>().owner == RouterId("b.x"));
+        CPPUNIT_ASSERT(singleAction<ForwardToOwner>().incarnation == Incarnation(4));
         handle(OwnerAnswered{call, std::nullopt});
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
         other = CallLedger::create(RouterId("a"), Incarnation(1), m_random);
@@ -397,7 +398,7 @@
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
     }
 
-    void usesUpRefusedTickets()
+    void consumesTicketWhenNoTargetAcceptsCall()
     {
         const std::string key = m_ledger->issueTicket(m_now).value();
         const CallId call = receive(request(0, key));
@@ -407,7 +408,7 @@
         assertAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable);
     }
 
-    void readsRecordsBack()
+    void claimRecordRoundTripsThroughJson()
     {
         ClaimRecord record{RouterId("a"), Incarnation(3), ~0ull, BodyDigest(~0ull), ClaimState::Done};
         record.status = 409;
--- a/Utilities/wisteria-measure/Slopes.cpp
+++ b/Utilities/wisteria-measure/Slopes.cpp
@@ -145,9 +145,9 @@
         }
     };
     count(ledger->handle(call, now));
-    count(ledger->handle(ClaimWritten{call.call, WriteResult::Applied, ObjectVersion(1)}, now));
+    count(ledger->handle(ClaimWritten{call.call, ClaimWriteResult::Applied, ObjectVersion(1)}, now));
     count(ledger->handle(TargetAnswered{call.call, 200, "done"}, now));
-    count(ledger->handle(ClaimWritten{call.call, WriteResult::Applied, ObjectVersion(2)}, now));
+    count(ledger->handle(ClaimWritten{call.call, ClaimWriteResult::Applied, ObjectVersion(2)}, now));
     std::cout << absl::StreamFormat("a claimed call without faults: %d store writes, %d store reads\n",
                                     writes, reads);
 }
