--- a/Tests/LibGateway/TestRequestStory.cpp
+++ b/Tests/LibGateway/TestRequestTimeline.cpp
@@ -6,9 +6,9 @@
 
 namespace Wisteria {
 
-class TestRequestStory : public CppUnit::TestFixture
+class TestRequestTimeline : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestRequestStory);
+    CPPUNIT_TEST_SUITE(TestRequestTimeline);
     CPPUNIT_TEST(failedStreamIsRenderedInOrder);
     CPPUNIT_TEST(eventsAboutItsTargetsAreIncluded);
     CPPUNIT_TEST(processesAreOrderedByWallClock);
@@ -97,6 +97,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestRequestStory);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestRequestTimeline);
 
 } // namespace Wisteria
--- a/Tests/LibRouting/TestSpreadChoice.cpp
+++ b/Tests/LibRouting/TestSpreadTargetSelection.cpp
@@ -38,9 +38,9 @@
 
 } // namespace detail
 
-class TestSpreadChoice : public CppUnit::TestFixture
+class TestSpreadTargetSelection : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestSpreadChoice);
+    CPPUNIT_TEST_SUITE(TestSpreadTargetSelection);
     CPPUNIT_TEST(targetWithCachedHeadDoesNotTakeAll);
     CPPUNIT_TEST(avoidsLostDomain);
     CPPUNIT_TEST(usesLostDomainWhenNoOtherIsLeft);
@@ -82,6 +82,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestSpreadChoice);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestSpreadTargetSelection);
 
 } // namespace Wisteria
