--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -1,5 +1,5 @@
-// How callers and targets of a site speak: the one place where names of headers and forms of bodies come
-// from. A site's adapter implements it; the gateway knows only these types.
+// The HTTP conventions of one site: header names and body formats used by its callers and targets. A site's
+// adapter implements Dialect; the gateway works only with the types declared here.
 
 #pragma once
 
@@ -14,16 +14,16 @@
 
 namespace Wisteria {
 
-// A copy of a run's memory, as the target that goes on from it is told of it.
+// Tells a target where to fetch a copy of a generation's KV cache.
 struct CopySource
 {
-    // Address of the target that keeps the copy, or of the one that made it where the copy has a handle.
+    // Address of the target that holds the copy, or of the target that created it if the copy has a handle.
     std::string address;
-    // Empty: the copy goes by the request's id.
+    // If empty, the copy is identified by the request ID.
     std::string handle;
 };
 
-// A call of a target that is no caller's request.
+// A request that the gateway itself sends to a target, as opposed to a forwarded caller request.
 struct ControlRequest
 {
     std::string method;
@@ -39,31 +39,32 @@
     std::string handle;
 };
 
-// One attempt as the target is told of it.
+// Parameters of one attempt, passed to the target in header fields.
 struct AttemptParameters
 {
     TargetId target;
     absl::Duration timeLeft;
-    // Unset on routes without keys.
+    // Unset on routes that require no API key.
     std::optional<WorkspaceName> workspace;
-    // Continue the stream after this event.
+    // The target resumes the stream after this event.
     std::optional<EventNumber> lastEvent;
-    // Address of the target that should keep a copy of the running generation; empty for none.
+    // Address of the target that should hold a copy of the running generation; empty for none.
     std::string copyHolder;
-    // Where to continue from; unset for reading the prompt.
+    // Copy to resume from; if unset, the target processes the whole prompt.
     std::optional<CopySource> resumeFrom;
-    // Zero is the most urgent.
+    // Zero is the highest priority.
     int priority{0};
 };
 
 enum class ResponseClass {
-    // The target ran the request, and the answer is whole in its head.
+    // The target executed the request; its response head is valid.
     Executed,
-    // The target says that it did not run the request: it has no room.
+    // The target rejected the request without executing it because it has no capacity.
     RejectedFull,
-    // Another target has taken the address; the request was not run.
+    // Another target now uses the address; the request was not executed.
     RejectedReplaced,
-    // Not an answer of this request's run: no proof of origin, or another request's id.
+    // The response cannot be attributed to this request: it has no proof of origin or carries another request
+    // ID.
     Untrusted,
 };
 
@@ -77,19 +78,20 @@
 public:
     virtual ~Dialect() = default;
 
-    // Errors: InvalidRequest when a field cannot be read.
+    // Errors: InvalidRequest when a header field is missing or malformed.
     [[nodiscard]] virtual ErrorOr<CallerRequest> readRequest(const HttpFields &) const = 0;
-    // Turns the caller's fields into those that the target gets.
+    // Replaces the caller's header fields with those for the target.
     virtual void writeTargetFields(HttpFields &, const CallerRequest &, const AttemptParameters &) const = 0;
     [[nodiscard]] virtual ResponseClass classifyResponse(const HttpResponseHead &,
                                                          const RequestId &) const = 0;
     [[nodiscard]] virtual bool isEventStream(const HttpResponseHead &) const = 0;
-    // Asks the target of a run to copy its memory to the holder, and the run to go on.
+    // Asks the target to copy the KV cache of a running generation to the holder while the generation
+    // continues.
     [[nodiscard]] virtual ControlRequest makeCopyRequest(const RequestId &,
                                                          const std::string &holderAddress) const = 0;
     [[nodiscard]] virtual CopyResponse parseCopyResponse(const HttpResponse &) const = 0;
     [[nodiscard]] virtual ControlRequest makeCopyReleaseRequest(const std::string &handle) const = 0;
-    // Empty when the target is not one that asks for entry points.
+    // `target` is an HTTP request target; empty when it is not an entry point query.
     [[nodiscard]] virtual std::optional<EntryPointQuery>
     readEntryPointQuery(std::string_view target) const = 0;
     [[nodiscard]] virtual HttpResponse writeEntryPoints(const std::vector<std::string> &addresses,
--- a/Libraries/LibGateway/DirectoryStore.h
+++ b/Libraries/LibGateway/DirectoryStore.h
@@ -1,5 +1,5 @@
-// The platform's object store as the gateway uses it: lists and watches of whole kinds, and its own entry.
-// All calls return at once; results come on the event loop.
+// Interface to the platform's object store: lists and watches all objects of a kind and publishes the
+// router's own record. All calls are asynchronous; results are delivered on the event loop.
 
 #pragma once
 
@@ -24,9 +24,9 @@
 struct DirectoryObject
 {
     std::string name;
-    // Revision of the store at the object's last change.
+    // Store revision of the last change to the object.
     ObjectVersion revision;
-    // The object's content in the store's own form; decoded by the DirectoryDecoder.
+    // Content in the store's format; decoded by DirectoryDecoder.
     nlohmann::json content;
     bool isRemoved{false};
 };
@@ -34,11 +34,12 @@
 struct DirectoryBatch
 {
     std::vector<DirectoryObject> objects;
-    // The store's revision up to which the batch is complete.
+    // Store revision up to which the batch is complete.
     ObjectVersion revision;
 };
 
-// Errors of both calls: StoreUnavailable, and Conflict when the history after the revision is gone.
+// Errors of list and watch: StoreUnavailable, or Conflict when the store no longer has the history after the
+// revision.
 using DirectoryHandler = std::function<void(ErrorOr<DirectoryBatch>)>;
 
 struct RouterRecord
@@ -54,15 +55,15 @@
 public:
     virtual ~DirectoryStore() = default;
 
-    // All objects of the kind, as of now.
+    // Lists all current objects of the kind.
     virtual void list(DirectoryKind, DirectoryHandler) = 0;
-    // Waits for changes after the revision; an empty batch when none came within `wait`.
+    // Waits up to `wait` for changes after the revision; returns an empty batch on timeout.
     virtual void watch(DirectoryKind, ObjectVersion after, absl::Duration wait, DirectoryHandler) = 0;
-    // Writes the router's own entry, new or not. Errors: StoreUnavailable; StoreOutcomeUnknown.
+    // Creates or replaces the router's own record. Errors: StoreUnavailable, StoreOutcomeUnknown.
     virtual void publish(const RouterRecord &, std::function<void(ErrorOr<void>)>) = 0;
 };
 
-// Decodes objects of the store. Errors: InvalidRequest for content that names nothing usable.
+// Decodes objects of the store. Errors: InvalidRequest when the content is unusable.
 class DirectoryDecoder
 {
 public:
--- a/Libraries/LibGateway/DirectoryView.cpp
+++ b/Libraries/LibGateway/DirectoryView.cpp
@@ -1,4 +1,4 @@
-// Performs the follower's actions and decodes what it applies.
+// Executes the actions of the DirectorySynchronizer and decodes the objects that it applies.
 
 #include <LibGateway/DirectoryView.h>
 
@@ -12,9 +12,9 @@
 
 namespace detail {
 
-// How long the store keeps a watch waiting. A connection that has gone silent is noticed only after this, and
-// leaving targets must be known within two seconds. Watchers draw a part of it each, so that they do not all
-// go blind for the same time.
+// Longest time that the store may hold a watch request. A dead connection is detected only after this time,
+// and leaving targets must be known within two seconds. Each watcher uses a random fraction of it, so that
+// watchers do not lose their view for the same period.
 constexpr absl::Duration maxWatchDuration = absl::Milliseconds(2500);
 constexpr double minWatchFraction = 0.4;
 
@@ -74,7 +74,7 @@
     for (const auto &it : m_follower.handle(event, monotonicNow()))
         perform(it);
     m_staged.clear();
-    // What was removed before the first view is in no log.
+    // Removals before the first complete view are not in the change log.
     if (!hadView && m_follower.hasView())
         m_changeLogStart = m_follower.changeRevision();
 }
@@ -142,7 +142,7 @@
 
 void DirectoryView::apply(const std::string &name)
 {
-    // A batch may change an object several times; the latest content is taken with the first of them.
+    // A batch may contain several changes of an object; the latest content is applied with the first one.
     auto staged = m_staged.extract(name);
     if (!staged)
         return;
@@ -157,7 +157,7 @@
         auto configuration = m_decoder.configuration(object);
         if (!configuration)
             return logUnusable(configuration.error());
-        // Versions only go up within one life of the process.
+        // Within one process lifetime the configuration version only increases.
         if (configuration->version <= m_configVersion)
             return;
         m_configVersion = configuration->version;
@@ -223,7 +223,9 @@
 
 ErrorOr<void> DirectoryView::mergePeerView(const nlohmann::json &json)
 {
-    const auto malformed = [] { return makeError(ErrorCode::InvalidRequest, "unreadable relayed view"); };
+    const auto malformed = [] {
+        return makeError(ErrorCode::InvalidRequest, "malformed view from another router");
+    };
     if (!json.is_object() || !json.contains("revision") || !json["revision"].is_number_unsigned()
         || !json.contains("objects") || !json["objects"].is_array() || !json.contains("complete")
         || !json["complete"].is_boolean())
--- a/Libraries/LibGateway/DirectoryView.h
+++ b/Libraries/LibGateway/DirectoryView.h
@@ -1,5 +1,5 @@
-// Keeps a gateway's view of configuration, targets and routers: follows the store, decodes what it holds, and
-// keeps the raw objects for routers that the store turns away.
+// A gateway's view of one kind of directory objects (configuration, targets or routers). It follows the
+// store, decodes its objects and keeps their raw content for routers that do not watch the store themselves.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace Wisteria {
 
-// Told of each change of the view.
+// Receives every change of the view.
 class DirectoryListener
 {
 public:
@@ -29,19 +29,19 @@
     virtual void routerChanged(const RouterRecord &) = 0;
 };
 
-// One kind of objects.
+// View of all objects of one kind.
 class DirectoryView
 {
 public:
-    // Changes that are remembered for other routers. Source: twice the engines of the largest site of today,
-    // so that the loss and return of a whole domain fits.
+    // Number of changes kept for other routers. Twice the number of targets of the largest site, so
+    // that the loss and recovery of a whole failure domain fits.
     static constexpr std::size_t changeLogCapacity = 400;
 
     DirectoryView(DirectoryKind, boost::asio::io_context &, DirectoryStore &, const DirectoryDecoder &,
                   DirectoryListener &, StructuredLog &, RandomSource &);
 
     void start();
-    // While false, the store is not watched: other routers relay changes.
+    // While false, the store is not watched and changes come from other routers.
     void setWatching(bool);
     [[nodiscard]] ObjectVersion changeRevision() const { return m_follower.changeRevision(); }
     [[nodiscard]] bool hasView() const { return m_follower.hasView(); }
@@ -49,10 +49,10 @@
     [[nodiscard]] bool isTrusted(absl::Time now) const { return m_follower.isTrusted(now); }
     void setStoreTrustedByOthers(bool othersTrusted) { m_follower.setStoreTrustedByOthers(othersTrusted); }
 
-    // What changed after the revision, for another router; the whole view where the log of changes does not
-    // reach back so far.
+    // Returns the changes after the revision for another router, or the complete view if the change log does
+    // not reach back that far.
     [[nodiscard]] nlohmann::json changesAfter(ObjectVersion) const;
-    // Takes another router's view where it is newer. Errors: InvalidRequest.
+    // Merges another router's view where it is newer. Errors: InvalidRequest.
     [[nodiscard]] ErrorOr<void> mergePeerView(const nlohmann::json &);
 
 private:
@@ -72,17 +72,18 @@
     RandomSource &m_random;
     DirectorySynchronizer m_follower;
     boost::asio::steady_timer m_timer;
-    // Content of applied objects, and of those that wait to be applied.
+    // Applied objects, and objects of the current batch that are not applied yet.
     std::map<std::string, DirectoryObject> m_objects;
     std::map<std::string, DirectoryObject> m_staged;
-    // The latest changes, by the revision of the view that they led to. Invariant: ordered by revision.
+    // The latest changes with the revision of the view that each one produced. Invariant: ordered by
+    // revision.
     struct Change
     {
         ObjectVersion revision;
         std::string name;
     };
     std::deque<Change> m_changeLog;
-    // Changes up to this revision are not in the log.
+    // Changes up to and including this revision are not in the log.
     ObjectVersion m_changeLogStart;
     ConfigVersion m_configVersion;
     bool m_isWatching{true};
--- a/Libraries/LibGateway/ForwardSession.cpp
+++ b/Libraries/LibGateway/ForwardSession.cpp
@@ -1,4 +1,4 @@
-// Performs the decisions on one request.
+// Executes the actions that ForwardedRequest decides on.
 
 #include <LibGateway/ForwardSession.h>
 
@@ -14,12 +14,13 @@
 
 namespace detail {
 
-// A stream without an event for this long is lost at once when another request finds its target silent.
-// Source: events come each 30 to 70 ms on a calm engine.
+// A stream without an event for this long counts as lost when another request reports its target as silent.
+// Idle engines send an event every 30 to 70 ms.
 constexpr absl::Duration suspectStreamSilence = absl::Milliseconds(150);
-// A connect attempt that is lost on the way is no proof; the second one in a row is.
+// A single connect timeout may be caused by a lost packet; the target counts as lost after this many in a
+// row.
 constexpr int maxProbeAttempts = 2;
-// Part of a prompt that an engine still reads when it goes on from a copy.
+// Fraction of the prompt that a target still processes when it resumes from a copy.
 constexpr double prefillFractionFromCopy = 0.1;
 
 std::string_view routeKindName(RouteKind kind)
@@ -96,7 +97,7 @@
     if (m_target != id || !m_attempt)
         return;
     if (fault == TargetFault::Gone) {
-        // The run ended with its process, though no reset may have come.
+        // The generation ended with the target's process, even if no connection reset was received.
         m_attempt->cancel();
         attemptLost(fault);
         return;
@@ -154,11 +155,11 @@
 
 bool ForwardSession::canFinishInTime(const ForwardingActions::StartAttempt &action)
 {
-    // What the caller holds already says that the answer is shorter than its guess.
+    // A stream that is resumed may be shorter than the caller's estimate, so it is never refused here.
     if (!m_routed.service->isModelService || m_forwardedRequest.lastEvent())
         return true;
     const auto backlog = m_gatewayContext.targets.backlog(requirements(), monotonicNow());
-    // Without a sound target, the choice falls on a doubtful one, or there is none.
+    // Without a healthy target, the pool chooses a suspect one or none.
     if (backlog == absl::InfiniteDuration())
         return true;
     const bool canFinishInTime = DeadlineAdmission::canFinishInTime(
@@ -288,7 +289,7 @@
     else
         log("target_full", {{"target", m_target ? m_target->value() : ""}, {"copy_missing", isCopyMissing}});
     if (isCopyMissing && m_target) {
-        // The target is sound; it may read the prompt anew.
+        // The target is healthy but no longer has the copy; it may process the prompt from the start.
         std::erase(m_triedTargets, *m_target);
     }
     handle(ForwardingEvents::AttemptNotExecuted{
--- a/Libraries/LibGateway/ForwardSession.h
+++ b/Libraries/LibGateway/ForwardSession.h
@@ -1,4 +1,4 @@
-// The host of one ForwardedRequest: performs its actions on the caller's connection and on targets.
+// Executes the actions of one ForwardedRequest on the caller's connection and on the targets.
 
 #pragma once
 
@@ -16,18 +16,19 @@
 
 namespace Wisteria {
 
-// Callers that are refused together come back spread over the last part of the time.
+// Random fraction by which Retry-After is shortened, so that callers refused together do not retry at the
+// same time.
 inline constexpr double retryJitter = 0.4;
 
-// Sets the field that tells a refused caller when to come back.
+// Sets the Retry-After field, shortened by a random jitter.
 void setRetryAfter(HttpResponse &, absl::Duration after, RandomSource &);
 
-// A request with what the configuration says of it.
+// A caller's request together with its route, workspace and service.
 struct RoutedRequest
 {
     HttpRequest message;
     CallerRequest request;
-    // Holds the route and the workspace.
+    // Owns the route, the workspace and the service below.
     std::shared_ptr<const RouteTable> table;
     const RouteSpec *route{nullptr};
     const WorkspaceKeys *workspace{nullptr};
@@ -42,9 +43,9 @@
     ~ForwardSession() override;
 
     void start();
-    // Ends what still runs because the process stops.
+    // Ends the request because the process is stopping.
     void stopNow();
-    // Another router or request found the target at fault.
+    // Another router or request reported the target as failed.
     void targetFailed(const TargetId &, TargetFault);
     [[nodiscard]] bool isFinished() const { return m_forwardedRequest.isFinished(); }
 
@@ -69,9 +70,10 @@
     void perform(const ForwardingActions::ProbeTarget &);
 
     [[nodiscard]] TargetRequirements requirements() const;
-    // False when a prompt would be read for a caller who will have left by then.
+    // False when the generation cannot finish before the caller's deadline, so that its prompt need not be
+    // processed.
     [[nodiscard]] bool canFinishInTime(const ForwardingActions::StartAttempt &);
-    // The copy from which the next attempt can go on.
+    // Returns the copy from which the next attempt can resume, if its holder is healthy.
     [[nodiscard]] std::optional<CopySource> findUsableCopy() const;
     void sendTo(const ForwardingTarget &, const ForwardingActions::StartAttempt &,
                 const std::optional<CopySource> &);
@@ -80,7 +82,7 @@
     void perform(const KvCopyActions::DeleteCopy &);
     void perform(const KvCopyActions::SetTimer &);
     void reserveCopyLoad(const std::optional<TargetId> &holder);
-    // Adds the request's load to its targets, or takes it back.
+    // Adds the request's load to the target and, if the route uses copies, to a copy holder.
     void reserveLoad(const TargetId &, bool fromCopy);
     void markPromptProcessed();
     void releaseLoad();
@@ -97,22 +99,22 @@
     std::shared_ptr<TargetAttempt> m_attempt;
     // Target of the running attempt; empty between attempts.
     std::optional<TargetId> m_target;
-    // Its address, which names the copies that it made.
+    // Address of that target, which identifies the copies that it created.
     std::string m_targetAddress;
     TargetLoad m_load;
     KvCopyManager m_copies;
     boost::asio::steady_timer m_copyTimer;
-    // Target whose load counts the copy.
+    // Target whose load includes the copy.
     std::optional<TargetId> m_copyHolder;
     TargetLoad m_copyLoad;
     bool m_isFromCopy{false};
     std::vector<TargetId> m_triedTargets;
-    // Head of the first stream, or the last complete answer.
+    // Response head of the first stream, or the latest complete response.
     HttpResponse m_response;
     bool m_hasStreamHead{false};
     bool m_isOutcomeLogged{false};
     std::optional<absl::Time> m_interruptedAt;
-    // Of the last event that the caller was sent; unset before the first one.
+    // Time of the last event sent to the caller; unset before the first one.
     std::optional<absl::Time> m_lastEventAt;
     absl::Duration m_longestGap;
 };
--- a/Libraries/LibGateway/ForwardSessionCopies.cpp
+++ b/Libraries/LibGateway/ForwardSessionCopies.cpp
@@ -1,4 +1,4 @@
-// Performs the decisions on the copies of a running generation.
+// Executes the actions of KvCopyManager, which maintains copies of a running generation.
 
 #include <LibGateway/ForwardSession.h>
 
@@ -10,7 +10,8 @@
 
 namespace detail {
 
-// A call for a copy. Source: a whole generation is copied in milliseconds, queued behind a few others.
+// Timeout of a copy request. Copying a whole generation takes milliseconds, but it may be queued behind other
+// copies.
 constexpr absl::Duration copyTimeout = absl::Milliseconds(1500);
 
 std::string_view copyOutcomeName(CopyOutcome outcome)
@@ -97,7 +98,7 @@
     const auto *from = m_target ? m_gatewayContext.targets.find(*m_target) : nullptr;
     if (!from)
         return;
-    // NOTE: A copy that is not given back lapses by itself, so the answer does not matter.
+    // NOTE: The response is ignored because a copy that is not released expires on its own.
     m_gatewayContext.connections.sendControlRequest(
         *from, m_gatewayContext.dialect.makeCopyReleaseRequest(action.handle), detail::copyTimeout,
         [](const HttpCallResult &) {});
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -1,4 +1,4 @@
-// Listening, routing and the housekeeping of a gateway.
+// Listeners, routing and periodic tasks of a gateway.
 
 #include <LibGateway/Gateway.h>
 
@@ -24,15 +24,15 @@
 constexpr int statusNotFound = 404;
 constexpr int statusUnavailable = 503;
 constexpr std::string_view metricsPath = "/metrics";
-// Changes of targets are small, and must be known soon; a configuration of thousands of routes takes longer
-// on a slow link.
+// Target changes are small and must arrive quickly; a configuration of thousands of routes takes longer on a
+// slow link.
 constexpr absl::Duration targetsCallTimeout = absl::Milliseconds(600);
 constexpr absl::Duration configurationCallTimeout = absl::Milliseconds(1500);
-// Routers that do not watch the store compare their whole view with another router's this often, in seconds.
+// Interval in seconds at which routers that do not watch the store request a full view from another router.
 constexpr std::uint64_t reconcileIntervalSeconds = 10;
-// Callers that this router turns away come back after this long; by then they know of another one.
+// Retry-After during shutdown; by then callers know another router.
 constexpr absl::Duration shutdownRetryAfter = absl::Milliseconds(100);
-// Of a caller that does not say how long it waits.
+// Assumed timeout of a caller that does not send one.
 constexpr absl::Duration defaultCallerTimeout = absl::Seconds(10);
 constexpr absl::Duration publishRetryInterval = absl::Milliseconds(500);
 
@@ -115,16 +115,15 @@
 
 void Gateway::start()
 {
-    m_log.write(
-        "started",
-        {{"domain", m_settings.domain.value()},
-         {"callers", m_settings.callerListen},
-         {"store", m_settings.store},
-         {"incarnation", m_self.incarnation.value()},
-         // Relates the times of the lines, which are since the machine's boot, to those of other machines.
-         {"unix_s", absl::ToDoubleSeconds(absl::Now() - absl::UnixEpoch())},
-         {"build", WISTERIA_VERSION}},
-        monotonicNow());
+    m_log.write("started",
+                {{"domain", m_settings.domain.value()},
+                 {"callers", m_settings.callerListen},
+                 {"store", m_settings.store},
+                 {"incarnation", m_self.incarnation.value()},
+                 // Maps the log's timestamps, which count from the machine's boot, to wall-clock time.
+                 {"unix_s", absl::ToDoubleSeconds(absl::Now() - absl::UnixEpoch())},
+                 {"build", WISTERIA_VERSION}},
+                monotonicNow());
     m_configurationView.start();
     m_targetsView.start();
     publishOwnRecord();
@@ -137,8 +136,8 @@
     const RouterRecord record{m_self.id, m_self.domain, m_self.callerAddress, m_self.peerAddress};
     m_site.store.publish(record, [this](const ErrorOr<void> &result) {
         if (result) {
-            // Listed after the own entry was written, so that of two routers that start together one sees the
-            // other.
+            // Routers are listed only after the own record is written, so that of two routers starting
+            // together at least one sees the other.
             m_routersView.start();
             return;
         }
@@ -224,7 +223,8 @@
     const auto id = request->id.value();
     const auto callerTimeout = request->callerTimeout.value_or(detail::defaultCallerTimeout);
     if (!m_routes || !m_targetsView.hasView()) {
-        // Targets whose entries lapsed with the store come back only some time after it.
+        // Target records that expired while the store was unavailable reappear only some time after it
+        // recovers.
         const auto expiryGrace =
             m_targetsView.isStoreLost() ? DirectorySynchronizer::removalGracePeriod : absl::ZeroDuration();
         return refuse(caller, detail::statusUnavailable, "no_configuration", id,
@@ -303,7 +303,7 @@
 {
     m_log.write("target_removed", {{"target", id.value()}}, monotonicNow());
     m_targets.remove(id);
-    // A target that leaves without notice goes on serving what runs there for a while.
+    // A target that is removed without notice keeps serving its running requests for a while.
     notifySessions(id, TargetFault::Unreachable);
     m_connections.remove(id);
 }
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,4 +1,4 @@
-// The gateway process: takes callers' requests, finds their route, and forwards them to targets.
+// The gateway: accepts callers' requests, selects their route and forwards them to targets.
 
 #pragma once
 
@@ -22,7 +22,7 @@
 
 namespace Wisteria {
 
-// What a site's adapter supplies.
+// Site-specific implementations that a gateway uses.
 struct SiteAdapter
 {
     const Dialect &dialect;
@@ -33,26 +33,25 @@
 class Gateway final : private HttpRequestHandler, private DirectoryListener, private PeerLinkDelegate
 {
 public:
-    // A router that stops takes requests from callers that have not heard of it for this long, and no longer.
-    // Source: the lifetime of entry points, and some callers keep them three times as long.
+    // A router that is shutting down keeps accepting requests for at least this long, because callers cache
+    // entry points for their lifetime, and some for three times as long.
     static constexpr absl::Duration stopListeningAfter = absl::Seconds(3);
-    // Part of the grace after which streams that still run are broken off. Source: leaves half a second of
-    // eight for the last writes.
+    // Fraction of the stop grace period after which running streams are aborted; of a grace period of eight
+    // seconds, this leaves about half a second for the last writes.
     static constexpr double abortGraceFraction = 0.94;
 
     // Errors: InvalidSettings.
     [[nodiscard]] static ErrorOr<std::unique_ptr<Gateway>>
     create(boost::asio::io_context &, const GatewaySettings &, const SiteAdapter &);
 
-    // Writes the last lines of the log.
+    // Flushes the log.
     ~Gateway() override;
 
-    // Takes the settings that may change while the process runs; what needs a restart is logged and left as
-    // it is.
+    // Applies the settings that can change at run time; changes that need a restart are logged and ignored.
     void reload(const GatewaySettings &);
-    // Logs that the settings file could not be taken; the settings stay as they are.
+    // Logs that the settings file could not be loaded; the current settings stay in force.
     void reloadFailed(const Error &);
-    // Leaves the entry points, finishes what runs, then ends the event loop.
+    // Withdraws the gateway from the entry points, finishes running requests and stops the event loop.
     void startShutdown();
 
 private:
@@ -70,7 +69,7 @@
     void handleReport(const PeerReport &) override;
     [[nodiscard]] std::vector<RouterRegistry::Member> peers() const override { return m_roster.members(); }
 
-    // Answers of the gateway itself; false when the request is none of these.
+    // Handles requests addressed to the gateway itself; false if the request must be forwarded.
     bool tryHandleLocally(const std::shared_ptr<HttpServerConnection> &, const HttpRequest &);
     void forward(const std::shared_ptr<HttpServerConnection> &, HttpRequest);
     void refuse(const std::shared_ptr<HttpServerConnection> &, int status, std::string_view reason,
@@ -80,12 +79,12 @@
     [[nodiscard]] ServiceRetryBudget &budgetFor(const ServiceName &);
     void targetFailed(const TargetId &, TargetFault);
     void notifySessions(const TargetId &, TargetFault);
-    // Finds out whether a target that lost a connection is there at all.
+    // Probes a target that lost a connection to find out whether it is still reachable.
     void verifyTarget(const TargetId &);
     void addReportedCounts(const PeerReport &, absl::Time now);
 
     void publishOwnRecord();
-    // Compares the whole view of targets with another router's.
+    // Requests the full view of targets from another router.
     void reconcile(absl::Time now);
     void runPeriodicTasks();
     void continueShutdown();
@@ -107,7 +106,7 @@
     ViewRelay m_configurationRelay;
     ViewRelay m_targetsRelay;
     std::shared_ptr<const RouteTable> m_routes;
-    // Sessions hold references to the budgets, hence nodes that stay where they are.
+    // Sessions hold references to the budgets, so the map must not move its elements.
     absl::node_hash_map<ServiceName, ServiceRetryBudget> m_budgets;
     absl::flat_hash_set<std::shared_ptr<ForwardSession>> m_sessions;
     std::vector<std::unique_ptr<HttpServer>> m_servers;
@@ -118,12 +117,12 @@
     absl::Time m_startedAt;
     std::optional<absl::Time> m_shutdownStartedAt;
     std::uint64_t m_reportSequence{0};
-    // Targets that this router found at fault since its last report.
+    // Targets that this router found faulty since its last report.
     std::vector<TargetId> m_unreportedFaults;
-    // Targets that it found replaced since then.
+    // Targets that this router found replaced since its last report.
     std::vector<TargetId> m_unreportedGone;
     absl::flat_hash_set<TargetId> m_targetsUnderVerification;
-    // What each router counted when it was last heard of.
+    // Request counts of each router's last report.
     struct ReportedCounts
     {
         Incarnation incarnation;
--- a/Libraries/LibGateway/GatewayContext.h
+++ b/Libraries/LibGateway/GatewayContext.h
@@ -1,4 +1,4 @@
-// What the sessions of a gateway share.
+// Dependencies and callbacks that a gateway shares with its sessions.
 
 #pragma once
 
@@ -27,11 +27,11 @@
     TargetConnections &connections;
     StructuredLog &log;
     GatewayMetrics &metrics;
-    // Called when a target was found at fault by a request, so that others on it look as well.
+    // Called when a request finds a target to be faulty, so that other requests on it check it too.
     std::function<void(const TargetId &, TargetFault)> targetFailed;
-    // Called when this router's own work at targets changed.
+    // Called when this router's own load on targets changed.
     std::function<void()> loadChanged;
-    // Called once when a session has given its final answer.
+    // Called once when a session has sent its final response.
     std::function<void(const std::shared_ptr<ForwardSession> &)> sessionEnded;
 };
 
--- a/Libraries/LibGateway/GatewayLifecycle.cpp
+++ b/Libraries/LibGateway/GatewayLifecycle.cpp
@@ -1,4 +1,4 @@
-// Reload and planned stop of a gateway.
+// Configuration reload and graceful shutdown of a gateway.
 
 #include <LibGateway/Gateway.h>
 
@@ -9,7 +9,7 @@
 namespace detail {
 
 constexpr absl::Duration shutdownCheckInterval = absl::Milliseconds(100);
-// Time for the last answers to leave the process.
+// Time to write the last responses before the event loop stops.
 constexpr absl::Duration finalWriteDelay = absl::Milliseconds(200);
 
 } // namespace detail
--- a/Libraries/LibGateway/GatewayMetrics.cpp
+++ b/Libraries/LibGateway/GatewayMetrics.cpp
@@ -1,5 +1,5 @@
-// Rendering and counting. Boost.Accumulators has no cumulative buckets, which dashboards add over routers,
-// hence the plain array.
+// Counting and rendering. Boost.Accumulators has no cumulative buckets, which dashboards need in order to
+// aggregate over routers, so the histogram uses a plain array.
 
 #include <LibGateway/GatewayMetrics.h>
 
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms of a gateway, in the Prometheus text form.
+// Counters, gauges and latency histograms of a gateway, rendered in the Prometheus text format.
 
 #pragma once
 
@@ -11,11 +11,11 @@
 
 namespace Wisteria {
 
-// Counts durations by upper bound.
+// Histogram with cumulative buckets.
 class LatencyHistogram
 {
 public:
-    // Upper bounds in seconds. Source: objectives of the users' sheets lie between 0.1 s and 4.5 s.
+    // Upper bounds in seconds. They cover latency objectives from 0.1 s to 4.5 s.
     static constexpr std::array<double, 12> bounds = {0.01, 0.025, 0.05, 0.1, 0.2, 0.35,
                                                       0.7,  1.5,   3,    4.5, 10,  25};
 
@@ -31,7 +31,7 @@
 class GatewayMetrics
 {
 public:
-    // Names are without the prefix "wisteria_"; labels are of the form `outcome="complete"`.
+    // Names omit the prefix "wisteria_"; labels have the form `outcome="complete"`.
     void increment(const std::string &name, const std::string &labels, std::uint64_t n = 1);
     void setGauge(const std::string &name, double value);
     void observe(const std::string &name, const std::string &labels, absl::Duration);
--- a/Libraries/LibGateway/GatewaySettings.cpp
+++ b/Libraries/LibGateway/GatewaySettings.cpp
@@ -1,4 +1,4 @@
-// Keys and ranges of a gateway's settings file.
+// Keys and valid ranges of a gateway's settings file.
 
 #include <LibConfig/SettingsReader.h>
 #include <LibGateway/GatewaySettings.h>
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -13,23 +13,23 @@
 {
     RouterId id;
     FailureDomain domain;
-    // Addresses on which callers send requests, ask for entry points, and the platform checks readiness.
+    // Listen addresses for callers' requests, entry point queries and the platform's readiness checks.
     std::string callerListen;
     std::string entryPointListen;
     std::string readinessListen;
-    // Counters for operators; empty for none.
+    // Listen address for metrics; empty to disable it.
     std::string metricsListen;
-    // Datagrams and calls between routers, on the same port number.
+    // Listen address for UDP reports and HTTP requests of other routers, on the same port number.
     std::string peerListen;
     std::string store;
     absl::Duration storeCallTimeout{absl::Seconds(1)};
-    // Longest time for which callers keep an answer with entry points.
+    // How long callers may cache an entry point response.
     absl::Duration entryPointLifetime{absl::Seconds(2)};
-    // Time from the request to stop to the kill.
+    // Time between the stop signal and the kill.
     absl::Duration stopGrace{absl::Seconds(8)};
     RetryLimits retryLimits;
     LogSettings log;
-    // Routers of one failure domain that watch the store; the others follow these.
+    // Number of routers in each failure domain that watch the store; the others get changes from them.
     std::uint32_t watchersPerDomain{2};
 };
 
--- a/Libraries/LibGateway/PeerLink.cpp
+++ b/Libraries/LibGateway/PeerLink.cpp
@@ -1,4 +1,4 @@
-// A UDP socket and its send timer.
+// UDP socket and report timer.
 
 #include <LibGateway/PeerLink.h>
 
@@ -67,7 +67,7 @@
         if (!endpoint)
             continue;
         boost::system::error_code ec;
-        // NOTE: A datagram that does not go out is as good as a lost one; the next report makes up for it.
+        // NOTE: A send error is treated like a lost datagram; the next report replaces it.
         m_socket.send_to(boost::asio::buffer(bytes), {endpoint->address(), endpoint->port()}, 0, ec);
     }
     startTimer(maxReportInterval);
@@ -83,7 +83,7 @@
                 if (auto report = decodePeerReport({m_receiveBuffer.data(), n})) {
                     m_delegate.handleReport(*report);
                 } else {
-                    LOG_EVERY_N(WARNING, 1000) << "an unreadable report: " << report.error().detail;
+                    LOG_EVERY_N(WARNING, 1000) << "ignoring malformed peer report: " << report.error().detail;
                 }
             }
             receive();
--- a/Libraries/LibGateway/PeerLink.h
+++ b/Libraries/LibGateway/PeerLink.h
@@ -1,4 +1,4 @@
-// Datagrams between the routers: sends this router's report to all others and takes theirs.
+// Exchanges reports with the other routers over UDP.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Wisteria {
 
-// Supplies this router's report and takes the others'.
+// Provides this router's report and handles the reports of the others.
 class PeerLinkDelegate
 {
 public:
@@ -27,13 +27,12 @@
 class PeerLink
 {
 public:
-    // Reports go out at least this often. Source: a lost router must leave the entry points within about two
-    // seconds, the time for which callers keep them.
+    // Reports are sent at least this often, because a lost router must disappear from the entry points within
+    // about two seconds, the time for which callers cache them.
     static constexpr absl::Duration maxReportInterval = absl::Milliseconds(500);
-    // And at most this often when something changed. Source: a tenth of the time that a mean prompt is read
-    // in.
+    // After changes, reports are sent at most this often; a tenth of the mean time to process a prompt.
     static constexpr absl::Duration minReportInterval = absl::Milliseconds(60);
-    // Routers that were not heard of get every n-th regular report.
+    // Silent routers are sent only every n-th report.
     static constexpr std::uint64_t silentPeerReportStride = 2;
 
     // Errors: InvalidSettings when the address cannot be bound.
@@ -41,8 +40,9 @@
     create(boost::asio::io_context &, std::string_view address, PeerLinkDelegate &);
 
     void start();
-    // Something in the report changed.
+    // Schedules a report because its content changed.
     void scheduleReport();
+    // Sends a report at once and restarts the report timer.
     void sendReport();
 
 private:
--- a/Libraries/LibGateway/RequestTimeline.cpp
+++ b/Libraries/LibGateway/RequestTimeline.cpp
@@ -1,4 +1,4 @@
-// Reading and ordering log lines.
+// Parses, selects and orders log lines.
 
 #include <LibGateway/RequestTimeline.h>
 
@@ -16,34 +16,34 @@
 
 namespace detail {
 
-// Lines that concern a process as a whole, and those that concern one target.
+// Events that concern a whole process, and events that concern one target.
 const std::set<std::string> processEvents = {"started",    "stopping",       "stopped",      "reloaded",
                                              "store_lost", "store_regained", "reload_failed"};
 const std::set<std::string> targetEvents = {"target", "target_removed", "target_verified", "target_fault"};
 
-// What an on-call engineer should know of the final word.
+// Explanations of the outcomes for on-call engineers.
 std::string_view describeOutcome(const std::string &outcome)
 {
     static const absl::flat_hash_map<std::string, std::string_view> descriptions = {
-        {"complete", "the answer was delivered whole"},
-        {"no_target",
-         "every known target of the service had turned it away, or there was none; it did not run"},
+        {"complete", "the complete response was delivered"},
+        {"no_target", "every known target of the service rejected it, or there was none; it did not run"},
         {"targets_full",
-         "its targets had no room, and the budget of repeats allowed no further one; it did not run"},
-        {"no_time_left", "no target could have ended it before its caller left; it did not run"},
+         "its targets had no capacity, and the retry budget allowed no further attempt; it did not run"},
+        {"no_time_left", "no target could have finished it before the caller's deadline; it did not run"},
         {"attempts_used_up", "it was lost at as many targets as its route allows"},
-        {"retry_budget_used_up", "it was lost, and all routers together had used up their repeats"},
-        {"timed_out", "no complete answer came within the route's timeout"},
-        {"answer_lost", "a target may have run it and its answer was lost; it must not be repeated"},
-        {"stopping", "its router was stopped"},
-        {"caller_left", "its caller left first"},
-        {"no_configuration", "its router had not read the configuration and the targets yet; it did not run"},
-        {"no_route", "no route of the configuration in force matches host and path"},
-        {"unknown_key", "no workspace of the configuration in force holds its key"},
-        {"unknown_service", "its route names a service that the configuration does not have; it did not run"},
+        {"retry_budget_used_up", "it was lost, and the retry budget of all routers was exhausted"},
+        {"timed_out", "no complete response arrived within the route's timeout"},
+        {"answer_lost", "a target may have run it and its response was lost; it must not be retried"},
+        {"stopping", "its router was shutting down"},
+        {"caller_left", "its caller disconnected first"},
+        {"no_configuration",
+         "its router had not loaded the configuration and the targets yet; it did not run"},
+        {"no_route", "no route of the active configuration matches host and path"},
+        {"unknown_key", "no workspace of the active configuration has its API key"},
+        {"unknown_service", "its route refers to a service that is not in the configuration; it did not run"},
     };
     const auto it = descriptions.find(outcome);
-    return it == descriptions.end() ? "see the last line" : it->second;
+    return it == descriptions.end() ? "unknown outcome; see the last line" : it->second;
 }
 
 std::string describeFields(const nlohmann::json &fields)
@@ -63,7 +63,7 @@
 {
     const auto begin = text.find('{');
     const auto json = begin == std::string_view::npos
-        ? ErrorOr<nlohmann::json>(makeError(ErrorCode::InvalidRequest, "no object"))
+        ? ErrorOr<nlohmann::json>(makeError(ErrorCode::InvalidRequest, "no JSON object"))
         : parseUntrustedJson(text.substr(begin));
     if (!json || !json->is_object() || !json->contains("t") || !json->at("t").is_number()
         || !json->contains("event") || !json->at("event").is_string() || !json->contains("process")
@@ -89,7 +89,7 @@
 {
     auto out = m_requestLines;
     std::set<std::string> targets;
-    // First and last line of the request at each process.
+    // Time of the first and last line of the request in each process.
     std::map<std::string, std::pair<double, double>> spans;
     for (const auto &it : m_requestLines) {
         if (it.fields.contains("target") && it.fields["target"].is_string())
@@ -113,7 +113,7 @@
 std::string RequestTimeline::render() const
 {
     if (m_requestLines.empty())
-        return absl::StrCat("no line of request ", m_requestId, "\n");
+        return absl::StrCat("no log lines for request ", m_requestId, "\n");
     std::string out;
     std::string cause;
     const auto lines = relevantLines();
@@ -133,9 +133,8 @@
         cause = absl::StrCat(name, ": ", abslView(detail::describeOutcome(name)));
     }
     absl::StrAppend(
-        &out,
-        "cause: ", cause.empty() ? "no final word: the process ended first, or its line was left out" : cause,
-        "\n");
+        &out, "cause: ",
+        cause.empty() ? "no final word: the process ended first, or the log line was dropped" : cause, "\n");
     return out;
 }
 
--- a/Libraries/LibGateway/RequestTimeline.h
+++ b/Libraries/LibGateway/RequestTimeline.h
@@ -1,5 +1,5 @@
-// Puts together what the logs of several gateways say of one request: its decisions in order, what the
-// processes believed meanwhile of the targets that it met, and its cause of failure.
+// Reconstructs the timeline of one request from the logs of several gateways: the events of the request in
+// order, process and target events from the same period, and the cause of its outcome.
 
 #pragma once
 
@@ -15,26 +15,26 @@
 class RequestTimeline
 {
 public:
-    // What a process said of its store and its targets this long before the request, in seconds, is told too.
-    // Source: the longest time for which a target stays under suspicion, and the grace for lapsed entries.
+    // Process and target events this long before the request, in seconds, are included. This covers the
+    // longest time that a target stays suspect and the grace period for expired records.
     static constexpr double contextWindowSeconds = 3;
 
     explicit RequestTimeline(std::string requestId) : m_requestId(std::move(requestId)) { }
 
-    // The lines of one process must come in their order; text before the JSON object is passed over. What is
-    // no line of a gateway's log is left out and counted.
+    // Lines of one process must be added in order. Text before the JSON object is ignored; lines that are not
+    // gateway log lines are skipped and counted.
     void addLine(std::string_view);
     [[nodiscard]] bool isEmpty() const { return m_requestLines.empty(); }
     [[nodiscard]] std::size_t skippedLines() const { return m_skippedLines; }
-    // One line for each decision, and the cause at the end.
+    // One line per event, and the cause at the end.
     [[nodiscard]] std::string render() const;
 
 private:
     struct Line
     {
         std::string process;
-        // Seconds; since 1970 where the process's `started` line was read, since its machine's boot
-        // otherwise.
+        // Seconds since the Unix epoch if the process's `started` line was read, since the boot of its
+        // machine otherwise.
         double at{0};
         nlohmann::json fields;
     };
@@ -43,9 +43,9 @@
 
     std::string m_requestId;
     std::vector<Line> m_requestLines;
-    // Of all processes: stores, targets, starts and stops.
+    // Store, target and lifecycle events of all processes.
     std::vector<Line> m_contextLines;
-    // Seconds since 1970 at the boot of each process's machine.
+    // Boot time of each process's machine, in seconds since the Unix epoch.
     std::map<std::string, double> m_bootTimes;
     std::size_t m_skippedLines{0};
 };
--- a/Libraries/LibGateway/StructuredLog.cpp
+++ b/Libraries/LibGateway/StructuredLog.cpp
@@ -1,4 +1,4 @@
-// Budgets, buffer and non-blocking writes.
+// Rate limits, buffering and non-blocking writes.
 
 #include <LibGateway/StructuredLog.h>
 
@@ -45,7 +45,7 @@
         pollfd ready{.fd = m_fd, .events = POLLOUT, .revents = 0};
         if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0)
             break;
-        // A pipe that polls as writable takes this much without blocking.
+        // A pipe that is reported as writable accepts PIPE_BUF bytes without blocking.
         const auto n =
             ::write(m_fd, m_buf.data() + written, std::min<std::size_t>(m_buf.size() - written, PIPE_BUF));
         if (n <= 0)
--- a/Libraries/LibGateway/StructuredLog.h
+++ b/Libraries/LibGateway/StructuredLog.h
@@ -1,5 +1,5 @@
-// Decision log of a gateway: one JSON object a line on standard output. Bounded and never blocking: each kind
-// of line has a budget a second, and what a slow reader does not take is dropped and counted.
+// Structured log of a gateway: one JSON object per line. It is bounded and never blocks: each event type is
+// rate limited, and lines that a slow reader does not consume in time are dropped and counted.
 
 #pragma once
 
@@ -17,18 +17,18 @@
 class StructuredLog
 {
 public:
-    // Lines of one kind a second; the next second's first line of the kind says how many were left out.
-    // Source: at 200 B a line, ten kinds stay under 200 KB a second.
+    // Limit per event type; the first line of that type in a later second reports how many were suppressed.
+    // At 200 bytes per line, ten event types stay below 200 KB/s.
     static constexpr std::uint32_t maxLinesPerEventPerSecond = 100;
-    // Lines waiting for the reader.
+    // Size limit of the buffer of unwritten lines.
     static constexpr std::size_t maxBufferedBytes = std::size_t{256} * 1024;
 
-    // Writes to the descriptor, which stays the caller's.
+    // Does not take ownership of the file descriptor.
     StructuredLog(int fd, std::string process) : m_fd(fd), m_process(std::move(process)) { }
 
-    // `fields` is a JSON object; `kind` must outlive the log.
+    // `fields` is a JSON object; `event` must outlive the log.
     void write(std::string_view event, nlohmann::json fields, absl::Time now);
-    // Hands to the reader what it takes at once.
+    // Writes as much of the buffer as possible without blocking.
     void flush();
     [[nodiscard]] std::uint64_t droppedLines() const { return m_droppedLines; }
 
--- a/Libraries/LibGateway/TargetAttempt.cpp
+++ b/Libraries/LibGateway/TargetAttempt.cpp
@@ -1,4 +1,4 @@
-// Judges heads, collects plain answers and cuts streams into events.
+// Classifies response heads, collects plain responses and splits streams into events.
 
 #include <LibGateway/TargetAttempt.h>
 
@@ -100,7 +100,7 @@
     auto *listener = takeListener();
     if (!listener)
         return;
-    // A refusal in its head is the target's word, whatever happens to its body.
+    // A rejection in the response head is authoritative even if the body is lost.
     if (m_responseClass == ResponseClass::RejectedReplaced)
         listener->attemptNotRun(TargetFault::Gone, true);
     else if (m_responseClass == ResponseClass::RejectedFull)
--- a/Libraries/LibGateway/TargetAttempt.h
+++ b/Libraries/LibGateway/TargetAttempt.h
@@ -1,4 +1,4 @@
-// One request on its way to one target: sends it and turns what comes back into typed events.
+// One attempt to execute a request on one target: sends the request and reports the response as typed events.
 
 #pragma once
 
@@ -13,12 +13,13 @@
 
 namespace Wisteria {
 
-// Exactly one of the ends is reported: not run, stream ended, answer or lost.
+// Exactly one of attemptNotRun, streamEnded, responseReceived and attemptLost is called, as the last call,
+// unless the attempt is cancelled.
 class AttemptListener
 {
 public:
     virtual ~AttemptListener() = default;
-    // `wasRefused` tells that a target saw the request and said that it did not run it.
+    // `wasRefused` means that a target received the request and rejected it without executing it.
     virtual void attemptNotRun(TargetFault, bool wasRefused) = 0;
     virtual void streamOpened(const HttpResponseHead &) = 0;
     virtual void eventsReceived(const std::vector<RawEvent> &) = 0;
@@ -30,8 +31,7 @@
 class TargetAttempt final : public HttpAnswerListener, public std::enable_shared_from_this<TargetAttempt>
 {
 public:
-    // Plain answers are collected up to this size. Source: above the largest answer of the users' sheets by
-    // far.
+    // Size limit of plain responses, far above the largest expected one.
     static constexpr std::size_t maxResponseBytes = std::size_t{4} << 20U;
 
     TargetAttempt(const Dialect &dialect, RequestId id, AttemptListener &listener)
@@ -39,11 +39,10 @@
     {
     }
 
-    // The event up to which the caller holds the stream; events up to it are dropped, and a gap after it is
-    // an error.
+    // Last event that the caller has received. Events up to it are dropped; a gap after it is an error.
     void setLastEvent(std::optional<EventNumber> last) { m_lastEvent = last; }
     void start(std::shared_ptr<HttpClientConnection>, std::string request, absl::Duration connectTimeout);
-    // Closes the connection; nothing is reported any more.
+    // Closes the connection; the listener is not called any more.
     void cancel();
 
     void answerHead(const HttpResponseHead &) override;
@@ -58,7 +57,7 @@
 
     const Dialect &m_dialect;
     RequestId m_id;
-    // Null once the end was reported.
+    // Null after the final call.
     AttemptListener *m_listener;
     std::shared_ptr<HttpClientConnection> m_connection;
     std::optional<EventNumber> m_lastEvent;
--- a/Libraries/LibGateway/TargetConnections.cpp
+++ b/Libraries/LibGateway/TargetConnections.cpp
@@ -1,4 +1,4 @@
-// Pools by target; a target that restarted or moved gets a new one.
+// One connection pool per target; a target that restarted or moved gets a new pool.
 
 #include <LibGateway/TargetConnections.h>
 
@@ -8,11 +8,11 @@
 
 namespace detail {
 
-// Sent bytes that a target leaves unacknowledged for this long end the connection. Source: several
-// retransmissions on the users' links.
+// A connection is closed when sent data stays unacknowledged for this long, which allows for several
+// retransmissions.
 constexpr absl::Duration unacknowledgedTimeout = absl::Milliseconds(1500);
 
-// Answers of calls to targets are a few fields.
+// Responses to control requests are small JSON objects.
 constexpr std::size_t maxControlResponseBytes = std::size_t{64} * 1024;
 
 } // namespace detail
--- a/Libraries/LibGateway/TargetConnections.h
+++ b/Libraries/LibGateway/TargetConnections.h
@@ -1,4 +1,4 @@
-// Kept connections to targets, one pool for each process of a target.
+// Keep-alive connections to targets, with one pool per target process.
 
 #pragma once
 
@@ -18,21 +18,21 @@
 class TargetConnections
 {
 public:
-    // A target that does not accept within this time is taken for unreachable. Source: connects take a few
-    // milliseconds on the users' sheets; a lost packet is sent again after a second.
+    // A target that does not accept a connection within this time counts as unreachable. A connect takes a
+    // few milliseconds; a lost SYN is retransmitted only after a second.
     static constexpr absl::Duration connectTimeout = absl::Milliseconds(250);
 
     explicit TargetConnections(boost::asio::io_context &context) : m_context(context) { }
 
-    // A connection to the target; null for an address that is none.
+    // Returns a connection to the target; null if its address is malformed.
     [[nodiscard]] std::shared_ptr<HttpClientConnection> take(const ForwardingTarget &, absl::Time now);
-    // Tells whether the target accepts connections at all.
+    // Checks whether the target accepts connections.
     void probe(const ForwardingTarget &, std::function<void(ProbeResult)>);
-    // Calls the target on a kept connection.
+    // Sends the request on a pooled connection.
     void sendControlRequest(const ForwardingTarget &, const ControlRequest &, absl::Duration timeout,
                             HttpCallHandler);
     void remove(const TargetId &);
-    // Closes idle connections whose peer is about to do so.
+    // Closes idle connections that the peer is about to close.
     void dropOld(absl::Time now);
 
 private:
--- a/Libraries/LibGateway/ViewRelay.cpp
+++ b/Libraries/LibGateway/ViewRelay.cpp
@@ -1,4 +1,4 @@
-// Calls between routers for their views.
+// HTTP requests between routers for their views.
 
 #include <LibGateway/ViewRelay.h>
 
@@ -19,7 +19,8 @@
 constexpr int statusOk = 200;
 constexpr int statusNoContent = 204;
 constexpr std::string_view viewsPath = "/v1/peer/views/";
-// Routers ask from a few revisions only; more than this are not kept encoded.
+// Routers ask for changes after a few distinct revisions only; the cache is cleared when it exceeds this
+// size.
 constexpr std::size_t maxEncodedResponses = 8;
 
 std::string_view httpFailureName(HttpFailure failure)
@@ -32,7 +33,7 @@
     case HttpFailure::ConnectionLost:
         return "connection lost";
     case HttpFailure::BadAnswer:
-        return "unreadable answer";
+        return "malformed response";
     case HttpFailure::Timeout:
         return "no answer in time";
     }
--- a/Libraries/LibGateway/ViewRelay.h
+++ b/Libraries/LibGateway/ViewRelay.h
@@ -1,9 +1,9 @@
-// Passes one view of the store from router to router: the changes after a revision, compressed, in answer to
-// a call; and the calls by which this router takes what others have.
+// Replicates one view of the store between routers: serves the changes after a revision, compressed, and
+// pulls newer changes from other routers.
 //
-// Load patterns: a change that all routers but a few watchers learn from each other at the same moment
-// (answers are encoded once), and a large view beside a small one (each has its own relay, so that targets
-// that leave never wait for a configuration of thousands of routes).
+// All routers but a few watchers request the same change at the same moment, so responses are encoded once
+// and cached. Each view has its own relay, so that updates of targets never wait for a configuration of
+// thousands of routes.
 
 #pragma once
 
@@ -21,36 +21,37 @@
 
 namespace Wisteria {
 
-// A router's call for the changes of a view.
+// Another router's request for the changes of a view.
 struct ViewRequest
 {
     std::string view;
-    // Zero asks for all objects.
+    // Zero requests all objects.
     ObjectVersion after;
 };
 
 class ViewRelay
 {
 public:
-    // Changes come in groups when a failure domain is lost; one call takes them all. Source: a fraction of
-    // the two seconds within which a leaving target gets no more work.
+    // Delay before a pull, so that one request fetches all changes when a failure domain is lost. It must be
+    // a fraction of the two seconds after which a leaving target gets no more requests.
     static constexpr absl::Duration pullDelay = absl::Milliseconds(60);
-    // Of a view as text. Source: several times the largest value of the store.
+    // Size limit of an uncompressed view; several times the largest value of the store.
     static constexpr std::size_t maxViewBytes = std::size_t{8} << 20U;
 
-    // `name` is the view's name between routers. A call that takes longer than `callTimeout` is given up.
+    // `name` identifies the view in requests between routers. A request that takes longer than `callTimeout`
+    // is cancelled.
     ViewRelay(boost::asio::io_context &, DirectoryView &, std::string name, absl::Duration callTimeout,
               StructuredLog &, RandomSource &);
 
-    // Empty when the path is no such call.
+    // Empty when the path is not a request for a view.
     [[nodiscard]] static std::optional<ViewRequest> readRequest(std::string_view path);
     [[nodiscard]] const std::string &name() const { return m_name; }
-    // 204 when nothing has changed after the revision.
+    // The status is 204 when nothing changed after the revision.
     [[nodiscard]] HttpResponse responseFor(ObjectVersion after);
 
-    // The router said that its view has this revision.
+    // The router reported this revision of its view.
     void noteRevision(const RouterRegistry::Member &, ObjectVersion);
-    // Compares the whole view with the other router's.
+    // Pulls the other router's full view and merges it.
     void pullFullView(const RouterRegistry::Member &);
 
 private:
@@ -65,11 +66,11 @@
     StructuredLog &m_log;
     RandomSource &m_random;
     boost::asio::steady_timer m_timer;
-    // The router that was last heard of with a newer view.
+    // The router that last reported a newer view.
     RouterRegistry::Member m_newerPeer;
-    // A call to another router is under way or about to begin.
+    // A pull is in progress or scheduled.
     bool m_isPulling{false};
-    // Encoded answers by the revision asked from. Invariant: made at m_encodedRevision.
+    // Encoded responses by the requested revision. Invariant: encoded at m_encodedRevision.
     std::map<ObjectVersion, std::string> m_encodedResponses;
     ObjectVersion m_encodedRevision;
 };
--- a/Services/Gateway/main.cpp
+++ b/Services/Gateway/main.cpp
@@ -1,4 +1,4 @@
-// wisteria-gateway: reads its settings, serves until a planned stop has finished, and ends.
+// wisteria-gateway: loads its settings and serves until a graceful shutdown has finished.
 
 #include <LibGateway/Gateway.h>
 #include <LibPlatform/ProgramOptions.h>
@@ -14,11 +14,11 @@
 
 namespace Wisteria::detail {
 
-// The settings file may change without a signal. Source: well below the time in which a change must be in
-// force.
+// Interval at which the settings file is checked for changes; well below the time within which a change must
+// take effect.
 constexpr std::chrono::milliseconds settingsCheckInterval{1000};
 
-// Takes the settings anew on SIGHUP and whenever the file's text changes.
+// Reloads the settings on SIGHUP and whenever the file's content changes.
 class SettingsReloader
 {
 public:
@@ -69,7 +69,7 @@
     boost::asio::steady_timer m_timer;
     Gateway &m_gateway;
     std::string m_file;
-    // The text that was taken last.
+    // Content of the file at the last reload.
     std::string m_lastText;
 };
 
@@ -107,6 +107,6 @@
     std::signal(SIGPIPE, SIG_IGN);
     return runDaemon<GatewaySettings>(
         {"wisteria-gateway",
-         "Forwards callers' requests to targets, and continues streams whose target is lost."},
+         "Forwards callers' requests to targets and resumes streams when a target is lost."},
         gatewaySettingsFromToml, detail::serve, argc, argv);
 }
--- a/Utilities/wisteria-explain/main.cpp
+++ b/Utilities/wisteria-explain/main.cpp
@@ -1,4 +1,4 @@
-// wisteria-explain: prints the story of one request from the logs of gateways.
+// wisteria-explain: prints the timeline of one request from the logs of gateways.
 
 #include <LibGateway/RequestTimeline.h>
 
@@ -22,14 +22,15 @@
 
 int explain(int argc, char **argv)
 {
-    cxxopts::Options options("wisteria-explain",
-                             "Prints what the logs of gateways say of one request, and why it failed.\n"
-                             "Lines marked with ~ tell what the process believed meanwhile.");
+    cxxopts::Options options(
+        "wisteria-explain",
+        "Prints the timeline of one request from the logs of gateways, and the cause of its outcome.\n"
+        "Lines marked with ~ are process and target events from the same period.");
     auto add = options.add_options();
-    add("request", "id of the request", cxxopts::value<std::string>());
-    add("log", "log files; standard input without any", cxxopts::value<std::vector<std::string>>());
+    add("request", "request ID", cxxopts::value<std::string>());
+    add("log", "log files; standard input if none is given", cxxopts::value<std::vector<std::string>>());
     add("version", "print the version");
-    add("help", "print this text");
+    add("help", "print this help");
     options.parse_positional({"request", "log"});
     options.positional_help("REQUEST [LOG...]");
     const auto arguments = options.parse(argc, argv);
@@ -57,7 +58,7 @@
     std::cout << timeline.render();
     if (timeline.skippedLines() > 0)
         std::cerr << "wisteria-explain: " << timeline.skippedLines()
-                  << " lines are no lines of a gateway's log\n";
+                  << " lines skipped that are not gateway log lines\n";
     return timeline.isEmpty() ? exitNotFound : EXIT_SUCCESS;
 }
 
