--- a/Tests/LibForwarding/TestDeadlineAdmission.cpp
+++ b/Tests/LibForwarding/TestDeadlineAdmission.cpp
@@ -1,4 +1,4 @@
-// Refusing what cannot end, under the load that it answers, on a virtual clock.
+// Tests the rejection of requests that cannot finish before their deadline, on a virtual clock.
 
 #include <LibForwarding/DeadlineAdmission.h>
 #include <LibForwarding/TargetPool.h>
@@ -18,7 +18,7 @@
 {
     int served{0};
     int refused{0};
-    // Read for callers who had left by then.
+    // Prompt tokens prefilled for requests that missed their deadline.
     std::int64_t wastedPrefillTokens{0};
 };
 
@@ -53,7 +53,8 @@
         CPPUNIT_ASSERT(!canEnd(size, absl::Milliseconds(100), absl::Milliseconds(4599)));
     }
 
-    // Found by inc-2249 and inc-8eba: callers with little patience left were refused while targets were free.
+    // The expected output length is only an estimate. Rejecting by it turned away callers near their deadline
+    // while targets were idle.
     void idleTargetIsUsedDespiteExpectedOutput()
     {
         const GenerationSize size{
@@ -76,8 +77,8 @@
         CPPUNIT_ASSERT(pool.backlog(need, m_start) == absl::InfiniteDuration());
     }
 
-    // Load pattern: an outage ends, and 60 callers with 2 to 7 s of patience left come back to 4 targets
-    // within half a second; each target reads one prompt a second.
+    // An outage ends, and 60 callers with 2 to 7 s until their deadline reconnect to 4 targets within 0.5 s.
+    // Each target prefills one prompt per second.
     void rejectionImprovesGoodputAfterOutage()
     {
         const auto before = replayReconnectBurst(detail::AdmissionPolicy::AdmitAll);
@@ -92,7 +93,7 @@
     {
         const GenerationSize size{
             .promptTokens = 14400, .maxOutputTokens = 1400, .expectedOutputTokens = 1400};
-        // The largest prompt of the users' sheets, with three of them ahead.
+        // The largest expected prompt, queued behind three prompts of the same size.
         CPPUNIT_ASSERT(canEnd(size, absl::Milliseconds(3 * 1800), absl::Seconds(25)));
     }
 
@@ -118,7 +119,7 @@
         return pool;
     }
 
-    // Targets read prompts in the order of their arrival, one after the other.
+    // Simulates targets that prefill prompts one at a time, in order of arrival.
     detail::ReplayResult replayReconnectBurst(detail::AdmissionPolicy policy)
     {
         constexpr int callers = 60;
@@ -144,7 +145,7 @@
                 ++out.refused;
                 continue;
             }
-            // A caller that has left before its prompt is read costs nothing more.
+            // A caller that leaves before its prefill starts uses no target time.
             if (prefillStart >= now + timeLeft)
                 continue;
             availableAt[best] = prefillStart + prefillTime;
--- a/Tests/LibForwarding/TestDirectorySynchronizer.cpp
+++ b/Tests/LibForwarding/TestDirectorySynchronizer.cpp
@@ -1,4 +1,4 @@
-// Following the store through outages, lost history, lapsed entries and relays.
+// Tests following the object store through outages, lost watch history, expired entries and relays.
 
 #include <LibForwarding/DirectorySynchronizer.h>
 
@@ -57,12 +57,11 @@
                 (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
             }
         }
-        // At most two a second once the pause has grown.
+        // The backoff settles at no more than about two calls per second.
         CPPUNIT_ASSERT(calls >= 15 && calls <= 45);
     }
 
-    // Load pattern: all routers were ended while the store is away, so that nothing is served until the first
-    // list after its return.
+    // When all routers restart during a store outage, nothing is served until the first list succeeds.
     void initialListIsRetriedWithShorterBackoff()
     {
         DirectorySynchronizer follower(m_random);
@@ -116,8 +115,8 @@
             hasAction<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, after)));
     }
 
-    // Found by hunt vmc-fleet mix --seed 374452928566: the store had turned away this router only, and the
-    // removal of a leaving target was held back past the bound.
+    // If the store rejected only this router's calls, a removal is real. Holding it back as a possible expiry
+    // delayed the removal of a draining target beyond its bound.
     void removalAppliesAtOnceWhenOtherRoutersReachedStore()
     {
         loadInitialList();
--- a/Tests/LibForwarding/TestForwardedRequest.cpp
+++ b/Tests/LibForwarding/TestForwardedRequest.cpp
@@ -1,5 +1,5 @@
-// One forwarded request: what is repeated, what is promised, when a stream goes on elsewhere, and how it
-// ends.
+// Tests the state machine of one forwarded request: retries, error responses, resuming of streams on another
+// target, and completion.
 
 #include <LibForwarding/ForwardedRequest.h>
 
@@ -9,7 +9,7 @@
 
 namespace detail {
 
-// A budget of a fixed number of repeats.
+// Allows a fixed number of retries.
 class FixedRetryBudget final : public RetryGate
 {
 public:
@@ -186,7 +186,7 @@
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::SendResponse>(actions));
     }
 
-    // Load pattern: callers come back at once after an outage, with little patience left.
+    // After an outage many callers reconnect at once, with little time left until their deadlines.
     void requestThatCannotMeetDeadlineIsRejected()
     {
         detail::FixedRetryBudget budget(10);
@@ -198,7 +198,7 @@
         CPPUNIT_ASSERT(refusal && refusal->isNotExecuted && refusal->retryAfter);
         CPPUNIT_ASSERT_EQUAL(503, refusal->status);
         CPPUNIT_ASSERT(request.isFinished());
-        // After an attempt that may have run, "not run" would be false.
+        // Once an attempt may have run, the response must not claim that the request did not run.
         ForwardedRequest repeated(detail::streamTerms(), budget, now);
         (void)repeated.begin(now);
         (void)repeated.handle(ForwardingEvents::AttemptLost{}, now);
@@ -206,8 +206,8 @@
         CPPUNIT_ASSERT_EQUAL(502, detail::findAction<ForwardingActions::Refuse>(last)->status);
     }
 
-    // Found by the soak, seed 103 (504 after the whole timeout): the target's link carried no answer, but
-    // took connections, so that probes found nothing.
+    // A target whose link accepts connections but delivers no responses passes probes. Without this limit the
+    // request ended with 504 after the whole route timeout.
     void unresponsiveTargetIsReplaced()
     {
         detail::FixedRetryBudget budget(10);
@@ -226,7 +226,8 @@
         CPPUNIT_ASSERT(start && start->number == 2 && !start->fromCopy);
     }
 
-    // Load pattern: each target has several prompts ahead; giving up a place in the line would lengthen it.
+    // Under load each target has several prompts queued. Retrying elsewhere would give up the place in the
+    // queue and lengthen the queues.
     void firstEventTimeoutGrowsWithBacklog()
     {
         detail::FixedRetryBudget budget(10);
@@ -252,7 +253,7 @@
         const auto *start = detail::findAction<ForwardingActions::StartAttempt>(actions);
         CPPUNIT_ASSERT(start && start->fromCopy);
         CPPUNIT_ASSERT(start->lastEvent == EventNumber(7));
-        // The old run is ended before the new one is asked for.
+        // The old attempt is cancelled before the new one is started.
         CPPUNIT_ASSERT(std::holds_alternative<ForwardingActions::CancelAttempt>(actions.front()));
     }
 
--- a/Tests/LibForwarding/TestForwardingTables.cpp
+++ b/Tests/LibForwarding/TestForwardingTables.cpp
@@ -1,4 +1,4 @@
-// Routes, keys, budgets, events, reports and the roster of routers.
+// Tests the route table, retry budget, event splitter, peer reports and router roster.
 
 #include <LibCore/Random.h>
 #include <LibForwarding/EventSplitter.h>
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(RouteTable::chooseService(route, 0.9999999) == ServiceName("two"));
     }
 
-    // Load pattern: half of the engines are lost, and every request would be repeated at once.
+    // Half of the engines are lost, and every request would be retried at once.
     void retryBudgetHoldsInEveryWindow()
     {
         constexpr int steps = 600;
@@ -88,7 +88,7 @@
             int sum = 0;
             for (int step = from; step < from + windowSteps; ++step)
                 sum += repeats[static_cast<std::size_t>(step)];
-            // The most requests that any window holds are one a step.
+            // A window holds at most one request per step.
             CPPUNIT_ASSERT(sum <= limits.ratio * windowSteps + limits.minRetriesPerWindow);
         }
     }
@@ -160,7 +160,7 @@
             auto damaged = bytes;
             damaged[random.below(damaged.size())] = static_cast<char>(random.below(256));
             damaged.resize(random.below(damaged.size() + 1));
-            // Must not crash; what still decodes is a report.
+            // Decoding must not crash. A corrupted report may still be decodable.
             if (const auto decoded = decodePeerReport(damaged); !decoded)
                 CPPUNIT_ASSERT(decoded.error().code == ErrorCode::InvalidRequest);
         }
@@ -189,7 +189,8 @@
         roster.recordReport(member("r1", 2, RouterPhase::Serving), m_now);
         roster.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, roster.entryPoints(FailureDomain("d"), m_now).size());
-        // Unless the later one has gone silent: the clock that numbers them may have been set back.
+        // It is accepted once the later one has gone silent, since the clock that numbers incarnations may
+        // have been set back.
         const auto later = m_now + absl::Seconds(10);
         CPPUNIT_ASSERT(roster.recordReport(member("r1", 1, RouterPhase::Serving), later));
     }
--- a/Tests/LibForwarding/TestKvCopyManager.cpp
+++ b/Tests/LibForwarding/TestKvCopyManager.cpp
@@ -1,4 +1,4 @@
-// The copies of running generations under the loss of domains one after the other.
+// Tests how copies of running generations are requested, renewed and replaced when failure domains are lost.
 
 #include <LibForwarding/KvCopyManager.h>
 
@@ -27,7 +27,8 @@
         CPPUNIT_ASSERT(m_keeper.copy()->holder == m_firstHolder);
     }
 
-    // Load pattern: the holder's domain is lost, then the target's, each within the life of a stream.
+    // The holder's failure domain is lost during a stream. A new copy is needed before the target's domain
+    // fails too.
     void lostHolderIsReplaced()
     {
         (void)beginAttempt(m_firstHolder);
@@ -103,7 +104,7 @@
         return m_keeper.handle(KvCopyEvents::AttemptStarted{holder}, m_now);
     }
 
-    // Returns the number of the call that the first event brings about.
+    // Returns the number of the copy call that the first event triggers.
     int beginAttemptWithoutHolder()
     {
         (void)m_keeper.handle(KvCopyEvents::AttemptStarted{}, m_now);
--- a/Tests/LibForwarding/TestTargetPool.cpp
+++ b/Tests/LibForwarding/TestTargetPool.cpp
@@ -1,4 +1,4 @@
-// The choice of targets under the load patterns that it answers.
+// Tests the choice of targets by load, faults, failure domains and memory.
 
 #include <LibForwarding/TargetPool.h>
 
@@ -51,8 +51,8 @@
             CPPUNIT_ASSERT_EQUAL(2, n);
     }
 
-    // Load pattern: a domain is lost, and many routers place what ran there at the same moment, each with the
-    // same picture of the loads.
+    // A failure domain is lost, and many routers place its requests on other targets at the same moment, each
+    // with the same view of the loads.
     void concurrentRoutersDoNotOverloadOneTarget()
     {
         m_pool.addLoad(id(0), {.requests = 0, .pendingPrefillTokens = 0, .memoryTokens = 900});
@@ -89,7 +89,7 @@
         m_pool.setPeerLoads(RouterId("a"), {{id(0), load()}}, m_now + absl::Seconds(1));
         CPPUNIT_ASSERT_EQUAL(2, m_pool.loadOf(id(0), m_now).requests);
         CPPUNIT_ASSERT(m_pool.loadOf(id(1), m_now) == TargetLoad{});
-        // Only the router that was silent is left out.
+        // Only the report of the silent router has expired.
         const auto later = m_now + TargetPool::reportLifetime + absl::Milliseconds(1);
         CPPUNIT_ASSERT_EQUAL(1, m_pool.loadOf(id(0), later).requests);
     }
@@ -102,10 +102,10 @@
             CPPUNIT_ASSERT(chosen != id(0));
             m_pool.addLoad(*chosen, load());
         }
-        TargetRequirements last = need();
+        TargetRequirements restricted = need();
         for (int n = 1; n < targetCount; ++n)
-            last.exclude.push_back(id(n));
-        CPPUNIT_ASSERT(m_pool.choose(last, m_now) == id(0));
+            restricted.exclude.push_back(id(n));
+        CPPUNIT_ASSERT(m_pool.choose(restricted, m_now) == id(0));
     }
 
     void suspicionExpires()
@@ -130,15 +130,15 @@
     void replacedTargetIsNeverChosen()
     {
         m_pool.recordFault(id(0), TargetFault::Gone, m_now);
-        TargetRequirements last = need();
+        TargetRequirements restricted = need();
         for (int n = 1; n < targetCount; ++n)
-            last.exclude.push_back(id(n));
-        CPPUNIT_ASSERT(!m_pool.choose(last, m_now + absl::Minutes(1)));
+            restricted.exclude.push_back(id(n));
+        CPPUNIT_ASSERT(!m_pool.choose(restricted, m_now + absl::Minutes(1)));
         m_pool.markGone(id(1));
-        last.exclude = {id(0)};
+        restricted.exclude = {id(0)};
         for (int n = 2; n < targetCount; ++n)
-            last.exclude.push_back(id(n));
-        CPPUNIT_ASSERT(!m_pool.choose(last, m_now));
+            restricted.exclude.push_back(id(n));
+        CPPUNIT_ASSERT(!m_pool.choose(restricted, m_now));
     }
 
     void restartedTargetIsChosenAgain()
@@ -147,10 +147,10 @@
         auto restarted = record(0);
         restarted.startedAtMs += 1;
         m_pool.upsert(restarted);
-        TargetRequirements last = need();
+        TargetRequirements restricted = need();
         for (int n = 1; n < targetCount; ++n)
-            last.exclude.push_back(id(n));
-        CPPUNIT_ASSERT(m_pool.choose(last, m_now) == id(0));
+            restricted.exclude.push_back(id(n));
+        CPPUNIT_ASSERT(m_pool.choose(restricted, m_now) == id(0));
     }
 
     void drainingTargetIsNotChosen()
--- a/Tests/LibGateway/FakeDirectory.h
+++ b/Tests/LibGateway/FakeDirectory.h
@@ -1,4 +1,4 @@
-// What a view of the platform's objects needs, in memory.
+// In-memory fakes of the dependencies of DirectoryView, and a fixture that owns a view with them.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace detail {
 
-// Keeps the handlers of its calls until the test answers them.
+// Keeps the handler of each call until the test completes the call.
 class ManualStore final : public DirectoryStore
 {
 public:
@@ -29,14 +29,14 @@
     DirectoryHandler m_watch;
 };
 
-// The content is the version or the address itself.
+// Decodes objects whose whole content is the configuration's version or the target's address.
 class StubDecoder final : public DirectoryDecoder
 {
 public:
     ErrorOr<TrafficConfiguration> configuration(const DirectoryObject &object) const override
     {
         if (!object.content.is_number_unsigned())
-            return makeError(ErrorCode::InvalidRequest, "no version");
+            return makeError(ErrorCode::InvalidRequest, "content is not a version number");
         TrafficConfiguration out;
         out.version = ConfigVersion(object.content.get<std::uint64_t>());
         return out;
@@ -44,7 +44,7 @@
     ErrorOr<ForwardingTarget> target(const DirectoryObject &object) const override
     {
         if (!object.content.is_string())
-            return makeError(ErrorCode::InvalidRequest, "no address");
+            return makeError(ErrorCode::InvalidRequest, "content is not an address");
         ForwardingTarget out;
         out.id = TargetId(object.name);
         out.address = object.content.get<std::string>();
@@ -52,7 +52,7 @@
     }
     ErrorOr<RouterRecord> router(const DirectoryObject &) const override
     {
-        return makeError(ErrorCode::InvalidRequest, "none");
+        return makeError(ErrorCode::InvalidRequest, "routers are not supported");
     }
 };
 
@@ -79,10 +79,9 @@
     return {name, ObjectVersion(revision), std::move(content), false};
 }
 
-// A view with all that it needs.
 struct DirectoryViewFixture
 {
-    // The log goes to the descriptor.
+    // Log lines are written to logDescriptor.
     explicit DirectoryViewFixture(DirectoryKind kind, int logDescriptor = STDERR_FILENO)
         : log(logDescriptor, "test"), view(kind, context, store, decoder, listener, log, random)
     {
--- a/Tests/LibGateway/TestDirectoryView.cpp
+++ b/Tests/LibGateway/TestDirectoryView.cpp
@@ -1,4 +1,4 @@
-// The view of the platform's objects, against a store and a second view in memory.
+// Tests DirectoryView with an in-memory store, and relays between two views.
 
 #include "FakeDirectory.h"
 
@@ -20,8 +20,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Found by the small twin of kalpaka-hold-grown trouble-1 (CONFIG): the second change in a batch was read
-    // from what the first had left, and relays carried that to all routers.
+    // The second change to an object in one batch used to be decoded from the moved-from content of the
+    // first, and relays spread the wrong value to all routers.
     void repeatedChangesInBatchApplyOnlyLatest()
     {
         detail::DirectoryViewFixture first(DirectoryKind::Configuration);
@@ -49,7 +49,7 @@
         first.store.completeList(
             {{detail::makeObject("a", 1, "1.1.1.1:1"), detail::makeObject("b", 1, 5)}, ObjectVersion(1)});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.listener.targets.size());
-        // One that becomes unusable names no target any more; the others hold.
+        // A target is removed when its object can no longer be decoded.
         first.store.completeWatch({{detail::makeObject("a", 2, nullptr)}, ObjectVersion(2)});
         CPPUNIT_ASSERT(first.listener.targets.empty());
     }
@@ -81,8 +81,8 @@
         CPPUNIT_ASSERT(second.listener.targets.empty());
     }
 
-    // Found by kalpaka-hold-grown trouble-2 --seed 774936032524 (DRAIN): a router that had just started
-    // relayed its first list as changes, without the targets that were removed before it.
+    // A router that has just started must relay its first list as a full view. Relayed as changes, it would
+    // omit targets that were removed before the list was read, and the receiver would keep them.
     void fullViewIsRelayedAfterStart()
     {
         detail::DirectoryViewFixture fresh(DirectoryKind::Targets);
--- a/Tests/LibGateway/TestRequestTimeline.cpp
+++ b/Tests/LibGateway/TestRequestTimeline.cpp
@@ -1,4 +1,4 @@
-// The story of a request from the logs of several processes.
+// Tests the timeline of one request that is assembled from the logs of several processes.
 
 #include <LibGateway/RequestTimeline.h>
 
@@ -49,7 +49,7 @@
         const auto text = timeline.render();
         CPPUNIT_ASSERT(text.find("-2.500 s  ~ g1  store_lost kind=targets") != std::string::npos);
         CPPUNIT_ASSERT(text.find("-0.500 s  ~ g1  target_verified") != std::string::npos);
-        // Another target, another process, long before.
+        // Events of another target, of another process or from long before the request are left out.
         CPPUNIT_ASSERT(text.find("e2") == std::string::npos);
         CPPUNIT_ASSERT(text.find("g2") == std::string::npos);
         CPPUNIT_ASSERT(text.find("routers") == std::string::npos);
@@ -57,7 +57,7 @@
 
     void processesAreOrderedByWallClock()
     {
-        // The caller came back to another router, whose machine has run for longer.
+        // The caller retried at another router, whose monotonic clock is far ahead.
         RequestTimeline timeline("r1");
         timeline.addLine(R"({"event":"started","process":"g2","unix_s":1000.0,"t":500.0})");
         timeline.addLine(
@@ -73,7 +73,7 @@
     void refusalCauseIsExplained()
     {
         RequestTimeline timeline("r1");
-        // As the users' bench prints it, with a time and a name in front.
+        // Log collectors may prefix each line with a time and a process name.
         timeline.addLine(
             R"(  4.1 front-1 {"event":"refused","process":"g1","request":"r1","reason":"no_configuration","t":6.0})");
         CPPUNIT_ASSERT(timeline.render().find("it did not run") != std::string::npos);
--- a/Tests/LibGateway/TestViewRelay.cpp
+++ b/Tests/LibGateway/TestViewRelay.cpp
@@ -1,4 +1,4 @@
-// Views passed between routers, over real connections on loopback.
+// Tests the relay of directory views between routers, over connections on loopback.
 
 #include "FakeDirectory.h"
 
@@ -16,7 +16,7 @@
 
 namespace detail {
 
-// Another router: a view of its own, and the answers to calls for it.
+// Another router that serves its own view to relay calls.
 class FakePeerRouter final : private HttpRequestHandler
 {
 public:
@@ -33,7 +33,7 @@
 
     [[nodiscard]] DirectoryViewFixture &fixture() { return m_fixture; }
     [[nodiscard]] const RouterRegistry::Member &member() const { return m_member; }
-    // Calls are taken and never answered.
+    // While unresponsive, calls are accepted but get no response.
     void setUnresponsive(bool isUnresponsive) { m_isUnresponsive = isUnresponsive; }
     [[nodiscard]] int calls() const { return m_calls; }
 
@@ -83,8 +83,8 @@
         CPPUNIT_ASSERT(runUntil([&] { return local.listener.targets.contains("a"); }));
     }
 
-    // Found by hunt-1fbc-7 on kalpaka-hold-grown (DRAIN): a configuration of 1,724 routes on slow links held
-    // up the news of leaving targets, which came in the same answer, for 4.4 s.
+    // When both views shared one response, transferring a configuration of 1,724 routes over slow links
+    // delayed changes of draining targets by 4.4 s.
     void configurationRelayDoesNotDelayTargetRelay()
     {
         detail::FakePeerRouter slow(m_context, DirectoryKind::Configuration, "configuration");
--- a/Tests/Platform/FakePlatform.cpp
+++ b/Tests/Platform/FakePlatform.cpp
@@ -1,4 +1,4 @@
-// The platform's forms, as far as the tests need them.
+// Implements the part of the platform's HTTP interfaces that the tests need.
 
 #include "FakePlatform.h"
 
@@ -277,7 +277,7 @@
         return;
     const auto text = detail::eventText(event);
     if (event > events / 2 && m_mode == FakeEngineMode::Crashing) {
-        // Half of an event is on its way when the engine dies.
+        // The engine crashes after sending half of an event.
         connection->writeStream(text.substr(0, text.size() / 2));
         connection->abort();
         return;
--- a/Tests/Platform/FakePlatform.h
+++ b/Tests/Platform/FakePlatform.h
@@ -1,4 +1,4 @@
-// Stand-ins of the platform on loopback, in the test's own event loop: the object store and engines.
+// Fakes of the platform's object store and engines, served on loopback in the test's event loop.
 
 #pragma once
 
@@ -18,18 +18,18 @@
 
 namespace Wisteria {
 
-// An address on loopback that nothing listens on.
+// Returns a loopback address on which nothing listens.
 [[nodiscard]] std::string unusedLoopbackAddress();
 
 enum class FakeStoreMode {
     Healthy,
-    // Answers every call with 503; nothing is done.
+    // Responds to every request with 503 and does not process it.
     Unavailable,
-    // Does what it is asked and answers nothing.
+    // Processes requests but sends no response.
     Unresponsive,
 };
 
-// Lists and watches of objects under one revision counter.
+// Serves lists, watches and writes of objects. All kinds share one revision counter.
 class FakeStore final : private HttpRequestHandler
 {
 public:
@@ -39,7 +39,7 @@
     void put(const std::string &kind, const std::string &name, const nlohmann::json &spec);
     void remove(const std::string &kind, const std::string &name);
     void setMode(FakeStoreMode mode) { m_mode = mode; }
-    // Watches from before now are answered with 410.
+    // Pending watches, and later ones from an earlier revision, get 410.
     void compactHistory();
     [[nodiscard]] int calls() const { return m_calls; }
 
@@ -61,7 +61,7 @@
     void handleRequest(const std::shared_ptr<HttpServerConnection> &, HttpRequest) override;
     void startWatch(const std::shared_ptr<HttpServerConnection> &, const std::string &kind,
                     const std::string &target);
-    // Answers with the changes that the watch waits for; false when there are none.
+    // Responds to the watch if there are changes for it. Returns whether it did.
     bool tryCompleteWatch(const PendingWatch &);
     void handleWrite(const std::shared_ptr<HttpServerConnection> &, const HttpRequest &,
                      const std::string &kind);
@@ -80,33 +80,32 @@
     std::unique_ptr<HttpServer> m_server;
 };
 
-// What the engines of a test share: copies of runs, and what ran how often.
+// State that all engines of a test share: their settings, KV cache copies and counts of runs.
 struct FakeEngineState
 {
-    // Of each stream.
     int eventsPerStream{20};
     std::chrono::milliseconds eventInterval{10};
-    // Engine address and request id of each copy.
+    // Keys are "ADDRESS/REQUEST_ID" or "ADDRESS/HANDLE", with the address of the engine that holds the copy.
     std::set<std::string> copies;
     std::map<std::string, int> runsByRequest;
     std::map<std::string, int> recomputedRuns;
-    // Workspaces that ran each request.
+    // Workspace that each request was run for.
     std::map<std::string, std::string> workspaceByRequest;
     int lastHandle{0};
-    // Called for each request that names the engine that it reaches.
+    // Called for each request whose Expect-Instance header matches the engine.
     std::function<void(const std::string &engine)> onRequest;
 
-    // The answer of a whole stream.
+    // The body of a complete stream.
     [[nodiscard]] std::string completeStream() const;
 };
 
 enum class FakeEngineMode {
     Healthy,
-    // Ends connections in the middle of answers.
+    // Aborts connections in the middle of responses.
     Crashing,
-    // Sends nothing more.
+    // Stops sending data but keeps connections open.
     Stalled,
-    // Refuses with the word that the request was not run.
+    // Rejects requests with 503 and the Not-Executed header.
     Overloaded,
 };
 
@@ -121,9 +120,9 @@
     [[nodiscard]] const std::string &service() const { return m_service; }
     [[nodiscard]] const std::string &zone() const { return m_zone; }
     [[nodiscard]] const std::string &address() const { return m_address; }
-    // Callers reach the engine at this address, through a proxy.
+    // Sets the address in the store record, for example that of a proxy.
     void setPublishedAddress(const std::string &address) { m_publishedAddress = address; }
-    // All that runs ends without an answer, copies are lost, and the engine goes on under another id.
+    // Aborts all streams, drops the copies held here and continues with the new id.
     void restart(const std::string &id);
     void setMode(FakeEngineMode mode) { m_mode = mode; }
     [[nodiscard]] int requestCount() const { return m_requestCount; }
@@ -131,7 +130,7 @@
 private:
     void handleRequest(const std::shared_ptr<HttpServerConnection> &, HttpRequest) override;
     void sendEventsFrom(const std::shared_ptr<HttpServerConnection> &, int event);
-    // Copies a run's memory to another engine, by a name of its own.
+    // Handles /-/kv-move: records a copy of a running request's KV cache under a new handle.
     void copyRun(const std::shared_ptr<HttpServerConnection> &, const std::string &body);
 
     boost::asio::io_context &m_context;
@@ -141,7 +140,7 @@
     std::string m_zone;
     std::string m_address;
     std::string m_publishedAddress;
-    // Starts of the engine; what an earlier one began ends without an answer.
+    // Streams begun before the latest restart are aborted.
     int m_restarts{0};
     std::set<std::string> m_running;
     FakeEngineMode m_mode{FakeEngineMode::Healthy};
--- a/Tests/Platform/TestAdapter.cpp
+++ b/Tests/Platform/TestAdapter.cpp
@@ -1,4 +1,5 @@
-// The platform's names decoded into the project's types, and damaged objects refused.
+// Tests PlatformDialect and ObjectDecoder: translation of headers and objects, and rejection of invalid
+// input.
 
 #include <ObjectDecoder.h>
 #include <PlatformDialect.h>
--- a/Tests/Platform/TestGatewayOnPlatform.cpp
+++ b/Tests/Platform/TestGatewayOnPlatform.cpp
@@ -1,4 +1,4 @@
-// The whole gateway behind the platform's adapter, against stand-ins on loopback.
+// End-to-end tests of the gateway with the platform adapter, against fakes on loopback.
 
 #include "FakePlatform.h"
 
@@ -80,7 +80,7 @@
 
     void tearDown() override
     {
-        // Sockets end before the loop that they belong to.
+        // Sockets must be destroyed before their event loop.
         m_gateway.reset();
         m_client.reset();
         m_engines.clear();
@@ -105,7 +105,7 @@
     {
         startGateway();
         setModes("llm", FakeEngineMode::Crashing);
-        // The answer never arrives as complete.
+        // The client sees the connection close before the response is complete.
         CPPUNIT_ASSERT_EQUAL(0, call("POST", "/stream/x", "r1").head.status);
     }
 
@@ -147,9 +147,9 @@
     void newConfigurationTakesEffect()
     {
         startGateway();
-        auto next = detail::configuration(2);
-        next["tenants"][0]["apiKeys"] = {"key2"};
-        m_store->put("config", "main", next);
+        auto updated = detail::configuration(2);
+        updated["tenants"][0]["apiKeys"] = {"key2"};
+        m_store->put("config", "main", updated);
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r").head.status == 401; }));
         CPPUNIT_ASSERT_EQUAL(200, call("POST", "/book/x", "r2", "key2").head.status);
     }
@@ -158,9 +158,9 @@
     {
         startGateway();
         m_store->compactHistory();
-        auto next = detail::configuration(3);
-        next["tenants"][0]["apiKeys"] = {"key3"};
-        m_store->put("config", "main", next);
+        auto updated = detail::configuration(3);
+        updated["tenants"][0]["apiKeys"] = {"key3"};
+        m_store->put("config", "main", updated);
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r", "key3").head.status == 200; }));
     }
 
@@ -170,10 +170,10 @@
         startGateway(Readiness::DontWait);
         const auto response = call("POST", "/book/x", "r1");
         CPPUNIT_ASSERT_EQUAL(503, response.head.status);
-        double after = 0;
+        double retryAfter = 0;
         CPPUNIT_ASSERT(
-            absl::SimpleAtod(std::string(fieldValue(response.head.fields, "Retry-After")), &after));
-        CPPUNIT_ASSERT(after > 0 && after < 1);
+            absl::SimpleAtod(std::string(fieldValue(response.head.fields, "Retry-After")), &retryAfter));
+        CPPUNIT_ASSERT(retryAfter > 0 && retryAfter < 1);
         CPPUNIT_ASSERT_EQUAL(503, call("GET", "/-/resolve?name=site.example&zone=z0", "").head.status);
         m_store->setMode(FakeStoreMode::Healthy);
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r2").head.status == 200; }));
@@ -185,9 +185,10 @@
         m_store->put("servers", "app-0", m_engines.at("app-0")->storeRecord("draining"));
         m_store->remove("servers", "app-1");
         CPPUNIT_ASSERT(runUntil([&] { return call("POST", "/book/x", "r").head.status == 503; }));
-        const int before = m_engines.at("app-0")->requestCount() + m_engines.at("app-1")->requestCount();
+        const int requestsBefore =
+            m_engines.at("app-0")->requestCount() + m_engines.at("app-1")->requestCount();
         (void)call("POST", "/book/x", "r2");
-        CPPUNIT_ASSERT_EQUAL(before,
+        CPPUNIT_ASSERT_EQUAL(requestsBefore,
                              m_engines.at("app-0")->requestCount() + m_engines.at("app-1")->requestCount());
     }
 
@@ -275,7 +276,7 @@
         return response;
     }
 
-    // Repeats the check for a few seconds.
+    // Runs the event loop until the check passes, for at most 5 seconds.
     template <typename Check>
     bool runUntil(Check check)
     {
@@ -291,7 +292,7 @@
     void checkStreamCompletes(FakeEngineMode mode)
     {
         startGateway();
-        // One domain fails; copies are kept in the other one.
+        // All engines of one failure domain fail; copies are kept in the other domain.
         for (const auto &[id, engine] : m_engines) {
             if (engine->storeRecord()["zone"] == "z0")
                 engine->setMode(mode);
