--- a/Libraries/LibRouting/AdaptivePolicy.cpp
+++ b/Libraries/LibRouting/AdaptivePolicy.cpp
@@ -1,4 +1,4 @@
-// Stall limits as multiples of the engine's normal silence, between bounds.
+// Computes stall limits as multiples of the engine's expected wait, within lower and upper bounds.
 
 #include <LibRouting/AdaptivePolicy.h>
 
@@ -10,7 +10,7 @@
 
 namespace detail {
 
-// Limits at thrift 0 and at thrift 1; those between are interpolated.
+// Bounds for thrift 0 (min) and thrift 1 (max). Values in between are interpolated linearly.
 struct StallRange
 {
     double minFactor;
@@ -21,10 +21,10 @@
 
 constexpr StallRange nextTokenRange{2, 8, absl::Milliseconds(250), absl::Seconds(2)};
 constexpr StallRange firstTokenRange{1.5, 4, absl::Seconds(1), absl::Seconds(4)};
-// A re-attach needs no prefill; an engine that still has the stream answers within a round trip.
+// Re-attaching needs no prefill. An engine that still has the stream answers within one round trip.
 constexpr StallRange reattachRange{2, 6, absl::Milliseconds(300), absl::Milliseconds(1500)};
 constexpr absl::Duration maxStallLimit = absl::Seconds(30);
-// Share of the limit that is left when other routers suspect the target too.
+// Applied to the limit when other routers also suspect the target.
 constexpr double suspectFactor = 0.5;
 
 const StallRange &stallRange(WaitKind kind)
--- a/Libraries/LibRouting/AdaptivePolicy.h
+++ b/Libraries/LibRouting/AdaptivePolicy.h
@@ -1,5 +1,5 @@
-// The resume policy of production: limits follow each engine's own gaps, and one knob trades resume latency
-// (thrift 0) for extra engine work (thrift 1).
+// The production resume policy. Stall limits follow the token latency of each engine. The `thrift` setting
+// trades resume latency against extra engine work: 0 minimises resume latency, 1 minimises extra work.
 
 #pragma once
 
@@ -11,9 +11,9 @@
 {
 public:
     [[nodiscard]] absl::Duration stallLimit(const StallContext &) const override;
-    // NOTE: A race costs no more than a replacement: the second attempt's prefill is paid either way, and a
-    // silent engine does no work. So thrift changes when a race starts, not whether the old stream may win
-    // it.
+    // NOTE: A hedged attempt costs no more than a replacement: the prefill of the second attempt is paid
+    // either way, and a stalled engine does no work. Thrift therefore controls when hedging starts, not
+    // whether the original stream may still win.
     [[nodiscard]] StallResponse stallResponse() const override { return StallResponse::Hedge; }
     [[nodiscard]] ResumeTargetStrategy targetStrategy(double thrift) const override;
     [[nodiscard]] ReattachMode reattachMode() const override { return ReattachMode::Reattach; }
--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -1,4 +1,4 @@
-// The rules under which work comes in.
+// Admission rules for new and resumed requests.
 
 #include <LibRouting/Admission.h>
 
@@ -8,7 +8,8 @@
 
 namespace detail {
 
-// When the queue will have moved on by about half, where its pace is known.
+// Returns the time after which about half of the estimated wait will have passed, with jitter. Empty when
+// there is no estimate.
 std::optional<absl::Duration> retryDelayFor(RoutingState &state, std::optional<absl::Duration> wait)
 {
     if (!wait)
@@ -28,7 +29,7 @@
 
 void Admission::handle(const RequestOpened &request)
 {
-    // The caller opened a new connection here before the old one was seen to break.
+    // The caller may reconnect before this router has noticed that the old connection broke.
     if (Generation *old = m_state.generations.find(request.generation))
         m_closer.discard(*old);
     if (rejectIfInadmissible(request))
@@ -53,13 +54,14 @@
     };
     if (m_state.drainingSince) {
         if (!request.resume)
-            return refuse(ErrorCode::Draining, "this router stops");
-        m_state.record(DecisionKind::HandOver, request.generation, TargetId(), "this router stops");
+            return refuse(ErrorCode::Draining, "this router is shutting down");
+        m_state.record(DecisionKind::HandOver, request.generation, TargetId(),
+                       "this router is shutting down");
         m_state.actions.push_back(HandOverGeneration{request.generation});
         return true;
     }
     if (m_state.freshness == Freshness::MayBeStale && !mayReattach(request))
-        return refuse(ErrorCode::ConfigurationStale, "the configuration here may be old");
+        return refuse(ErrorCode::ConfigurationStale, "this router's configuration may be stale");
     const ServiceSpec *service = m_state.service(request.service);
     if (!service || service->kind != ServiceKind::Generation)
         return refuse(ErrorCode::UnknownService, request.service.value());
@@ -67,8 +69,9 @@
     if (!workspace)
         return refuse(ErrorCode::UnknownWorkspace, request.workspace.value());
     if (m_state.now >= request.deadline)
-        return refuse(ErrorCode::DeadlineExceeded, "the caller's timeout passed");
-    // NOTE: A returning generation was admitted by its first router, whose count may still be in the gossip.
+        return refuse(ErrorCode::DeadlineExceeded, "the caller's deadline has passed");
+    // NOTE: A resumed generation was already admitted by its first router, whose count may still be included
+    // in the gossiped demand.
     if (!request.resume && !m_state.shares.mayAdmit(*workspace))
         return refuse(ErrorCode::WorkspaceLimitReached, request.workspace.value());
     return false;
@@ -103,7 +106,7 @@
         enqueue(generation, priority);
         break;
     case TargetChoice::Outcome::NoTarget:
-        m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service takes work");
+        m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service accepts work");
         break;
     }
 }
@@ -133,11 +136,12 @@
         service, m_state.queue.sizeAtOrAbove(service, priority), m_state.now);
     const auto retryDelay = detail::retryDelayFor(m_state, wait);
     if (m_state.queue.size(priority) >= m_state.configuration.preset().maxWaiting) {
-        m_closer.refuse(generation, ErrorCode::Overloaded, "too many requests wait here", retryDelay);
+        m_closer.refuse(generation, ErrorCode::Overloaded, "too many requests are queued at this router",
+                        retryDelay);
         return;
     }
     if (wait && m_state.now + *wait > generation.request.deadline) {
-        m_closer.refuse(generation, ErrorCode::Overloaded, "the wait would outlast the caller's timeout",
+        m_closer.refuse(generation, ErrorCode::Overloaded, "the estimated wait exceeds the caller's deadline",
                         retryDelay);
         return;
     }
@@ -145,7 +149,7 @@
     generation.queuePriority = priority;
     m_state.queue.push(generation.request.service, priority, workspace.name, workspace.weight,
                        generation.id());
-    m_state.record(DecisionKind::Queue, generation.id(), TargetId(), "every target is full");
+    m_state.record(DecisionKind::Queue, generation.id(), TargetId(), "all targets are full");
 }
 
 void Admission::dispatchQueued()
@@ -171,7 +175,8 @@
             m_launcher.start(generation, choice,
                              priority == QueuePriority::Resume ? DecisionKind::Resume : DecisionKind::Start);
         else
-            m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service takes work");
+            m_closer.refuse(generation, ErrorCode::NoTargetAvailable,
+                            "no target of the service accepts work");
     }
 }
 
--- a/Libraries/LibRouting/Admission.h
+++ b/Libraries/LibRouting/Admission.h
@@ -1,4 +1,4 @@
-// Takes new requests in, lets them wait, or refuses them at once.
+// Admits, queues or rejects new requests.
 
 #pragma once
 
@@ -12,11 +12,11 @@
     Admission(RoutingState &, AttemptLauncher &, GenerationCloser &, Recovery &);
 
     void handle(const RequestOpened &);
-    // Starts what waits, as far as there is room, and refuses what no target is left for.
+    // Starts queued requests while there is capacity and refuses those whose service has no target left.
     void dispatchQueued();
 
 private:
-    // Refuses or hands over what must not come in; true when it did.
+    // Refuses or hands over a request that must not be admitted. Returns true if it did.
     [[nodiscard]] bool rejectIfInadmissible(const RequestOpened &);
     [[nodiscard]] bool mayReattach(const RequestOpened &) const;
     [[nodiscard]] bool hasQueuedAtOrAbove(const ServiceName &, QueuePriority) const;
--- a/Libraries/LibRouting/AdmissionQueue.h
+++ b/Libraries/LibRouting/AdmissionQueue.h
@@ -1,5 +1,6 @@
-// Requests that wait for a slot, by service. Urgent ones go first, then generations that lost their stream,
-// then patient requests. Within a rank, workspaces take turns by their weight (start-time fair queueing).
+// Requests waiting for a slot, grouped by service. Urgent requests are served first, then generations that
+// lost their stream, then patient requests. Within a priority, workspaces share capacity by weight
+// (start-time fair queueing).
 
 #pragma once
 
@@ -20,16 +21,17 @@
 {
 public:
     void push(const ServiceName &, QueuePriority, const WorkspaceName &, double weight, const GenerationId &);
-    // The generation that is served next. It stays in the queue.
+    // Returns the generation to serve next without removing it.
     [[nodiscard]] std::optional<GenerationId> front(const ServiceName &, QueuePriority) const;
-    // Takes the front out and charges its workspace.
+    // Removes the front and charges its cost to its workspace.
     void pop(const ServiceName &, QueuePriority);
-    // Takes a generation out without charge. Unknown ones are ignored.
+    // Removes a generation without charging its workspace. Ignores unknown generations.
     void remove(const ServiceName &, const GenerationId &);
 
     [[nodiscard]] std::vector<ServiceName> services() const;
     [[nodiscard]] std::size_t size(QueuePriority) const;
-    // Requests of the service that are served before a new one of the rank, as far as ranks decide.
+    // Number of requests of the service at this priority or above. Fair queueing may still serve a new
+    // request of the same priority before some of them.
     [[nodiscard]] std::size_t sizeAtOrAbove(const ServiceName &, QueuePriority) const;
     [[nodiscard]] bool isEmpty() const { return m_services.empty(); }
 
@@ -42,14 +44,14 @@
     struct Flow
     {
         std::deque<Item> items;
-        // Virtual time at which the lane's front may start. An empty lane keeps it, so that a workspace
-        // cannot shed its charge by asking for one thing at a time.
+        // Virtual start time of the front item. It is kept while the flow is empty, so that a workspace can't
+        // avoid its charge by queueing one request at a time.
         double startTag{0};
     };
     struct FairQueue
     {
         std::map<WorkspaceName, Flow> flows;
-        // Virtual time: the start of the item served last. A workspace that was idle begins here.
+        // Start tag of the item served last. A workspace that becomes active again starts here.
         double virtualTime{0};
     };
     using ServiceQueue = std::map<QueuePriority, FairQueue>;
@@ -57,7 +59,7 @@
     [[nodiscard]] const FairQueue *find(const ServiceName &, QueuePriority) const;
     void eraseIfEmpty(const ServiceName &);
 
-    // Invariant: holds a service only while one of its requests waits.
+    // Invariant: contains a service only while one of its requests is queued.
     std::map<ServiceName, ServiceQueue> m_services;
     std::map<QueuePriority, std::size_t> m_sizes;
 };
--- a/Libraries/LibRouting/AffinitySelector.cpp
+++ b/Libraries/LibRouting/AffinitySelector.cpp
@@ -1,4 +1,4 @@
-// Weighted rendezvous hashing, corrected by load and by cache hints.
+// Weighted rendezvous hashing, adjusted for load and cache hints.
 
 #include <LibRouting/AffinitySelector.h>
 
@@ -13,12 +13,12 @@
 
 namespace detail {
 
-// How much more an engine counts that is said to hold the prompt's head.
+// Weight multiplier for an engine that reports the prompt prefix as cached.
 constexpr double cachedPrefixWeight = 8;
-// Keeps the order among engines that are all full.
+// Keeps weights positive, so that full engines remain ordered by their hash.
 constexpr double minFreeShare = 0.01;
 
-// A fixed number in (0, 1) for each pair of head and target.
+// Returns a deterministic value in (0, 1) for each pair of prefix and target.
 double rendezvousUniform(PromptPrefixHash prefixHash, const TargetId &target)
 {
     const std::string &name = target.value();
--- a/Libraries/LibRouting/AffinitySelector.h
+++ b/Libraries/LibRouting/AffinitySelector.h
@@ -1,5 +1,5 @@
-// Weighted rendezvous hashing on the prompt's head: equal heads meet on one engine while it has room, and
-// only the share of heads that load or membership displaces moves elsewhere.
+// Weighted rendezvous hashing on the prompt prefix. Requests with the same prefix go to the same engine while
+// it has capacity. Load or membership changes only move the prefixes that they displace.
 
 #pragma once
 
--- a/Libraries/LibRouting/AttemptLauncher.cpp
+++ b/Libraries/LibRouting/AttemptLauncher.cpp
@@ -1,4 +1,4 @@
-// Begins and ends attempts.
+// Starts and ends attempts.
 
 #include <LibRouting/AttemptLauncher.h>
 
@@ -12,14 +12,14 @@
 
 namespace detail {
 
-// Alternatives that a decision's log line names.
+// Maximum number of alternatives named in a decision log line.
 constexpr std::size_t maxAlternatives = 3;
 
 SlotClass slotClassFor(const Generation &generation)
 {
     if (generation.request.urgency == Urgency::Urgent)
         return SlotClass::Urgent;
-    // A generation that lost its stream was admitted already; it must not wait behind new work.
+    // A generation that lost its stream was already admitted, so it must not wait behind new work.
     return generation.hasDelivered() ? SlotClass::Resumed : SlotClass::Patient;
 }
 
@@ -67,7 +67,7 @@
 
 std::optional<FailureDomain> AttemptLauncher::lostDomain(const Generation &generation) const
 {
-    // A silent attempt is taken for lost too.
+    // A stalled attempt also counts as lost.
     const TargetId *lost = nullptr;
     if (!generation.attempts.empty())
         lost = &generation.attempts.back().target;
@@ -93,7 +93,7 @@
     choice.reason = absl::StrCat(
         std::string(strategy == ResumeTargetStrategy::BySelector ? m_state.selector->reason()
                                                                  : "resume policy"),
-        ", load ", target.load, "/", target.slots, target.hasCachedPrefix ? ", holds the prompt's head" : "");
+        ", load ", target.load, "/", target.slots, target.hasCachedPrefix ? ", prompt prefix cached" : "");
     for (const auto &it : candidates.available) {
         if (it.id != target.id && choice.alternatives.size() < detail::maxAlternatives)
             choice.alternatives.push_back(it.id);
@@ -131,7 +131,7 @@
                                                                     .streamStart = point.streamStart,
                                                                     .startedAt = m_state.now,
                                                                     .lastProgress = m_state.now});
-    m_state.record(DecisionKind::Reattach, generation.id(), point.target, "the stream may still run");
+    m_state.record(DecisionKind::Reattach, generation.id(), point.target, "the stream may still be running");
     m_state.actions.push_back(ReattachAttempt{attempt.id, generation.id(), point.target, point.stream,
                                               point.streamStart, generation.next});
     m_state.markForReschedule(generation);
--- a/Libraries/LibRouting/AttemptLauncher.h
+++ b/Libraries/LibRouting/AttemptLauncher.h
@@ -1,4 +1,4 @@
-// Chooses targets and begins and ends attempts, keeping the targets' load counts in step.
+// Chooses targets, starts and ends attempts, and keeps the load counts of the targets up to date.
 
 #pragma once
 
@@ -6,7 +6,7 @@
 
 namespace Wisteria {
 
-// The target of a further attempt, or why there is none.
+// The target for the next attempt, or the reason why there is none.
 struct TargetChoice
 {
     enum class Outcome { Chosen, NoCapacity, NoTarget };
@@ -23,22 +23,22 @@
     explicit AttemptLauncher(RoutingState &state) : m_state(state) { }
 
     [[nodiscard]] TargetChoice choose(const Generation &, ResumeTargetStrategy) const;
-    // Opens a stream with the prefix below the generation's next offset.
+    // Opens a stream whose prefix is the answer up to the next offset of the generation.
     void start(Generation &, const TargetChoice &, DecisionKind);
-    // Attaches to the stream that an earlier router opened.
+    // Attaches to a stream that another router opened earlier.
     void reattach(Generation &, const ResumePoint &);
 
-    // Ends an attempt that the engine may still run.
+    // Ends an attempt that may still be running on the engine and cancels it there.
     void cancel(Generation &, AttemptId);
     void cancelAllBut(Generation &, AttemptId winner);
-    // Ends an attempt that is over at the engine, or that another router goes on with.
+    // Ends an attempt that the engine has finished or that another router will continue.
     void release(Generation &, AttemptId);
 
 private:
     [[nodiscard]] CandidateQuery queryFor(const Generation &) const;
     [[nodiscard]] std::size_t select(const Generation &, ResumeTargetStrategy,
                                      std::span<const TargetCandidate>) const;
-    // The failure domain in which the generation's latest attempt was lost.
+    // The failure domain of the target that the generation lost most recently.
     [[nodiscard]] std::optional<FailureDomain> lostDomain(const Generation &) const;
 
     RoutingState &m_state;
--- a/Libraries/LibRouting/BuiltInPlugins.cpp
+++ b/Libraries/LibRouting/BuiltInPlugins.cpp
@@ -1,4 +1,4 @@
-// The list of the plug-ins that this library brings.
+// List of the built-in plug-ins.
 
 #include <LibRouting/BuiltInPlugins.h>
 
--- a/Libraries/LibRouting/BuiltInPlugins.h
+++ b/Libraries/LibRouting/BuiltInPlugins.h
@@ -1,10 +1,10 @@
-// Makes sure that the plug-ins of this library are linked into a program, which registers them.
+// Ensures that the built-in plug-ins of this library are linked and therefore registered.
 
 #pragma once
 
 namespace Wisteria::detail {
 
-// Refers to each built-in plug-in, since a linker drops an archive's objects to which nothing refers.
+// References every built-in plug-in, because the linker drops archive members that nothing references.
 void linkBuiltInPlugins();
 
 } // namespace Wisteria::detail
--- a/Libraries/LibRouting/CacheHints.cpp
+++ b/Libraries/LibRouting/CacheHints.cpp
@@ -1,4 +1,4 @@
-// A bounded set of prompt heads with replacement of the least recently used.
+// A bounded set of prompt prefixes with LRU eviction.
 
 #include <LibRouting/CacheHints.h>
 
--- a/Libraries/LibRouting/CacheHints.h
+++ b/Libraries/LibRouting/CacheHints.h
@@ -1,6 +1,6 @@
-// Which prompt heads an engine's prefix cache probably holds: its own reports, and what this router sent
-// since. Reports come late and with gaps, so this only steers the choice of targets and never decides
-// correctness.
+// Tracks which prompt prefixes an engine's prefix cache probably holds, from the engine's reports and from
+// the requests that this router sent to it. Reports arrive late and with gaps, so the hints only influence
+// the choice of target and never correctness.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 class CacheHints
 {
 public:
-    // Heads remembered for one engine. With 600 engines this stays below 30 MB.
+    // Maximum number of prefixes per engine. Keeps memory below 30 MB with 600 engines.
     static constexpr std::size_t maxEntries = 512;
 
     void noteStored(PromptPrefixHash);
@@ -25,7 +25,7 @@
     [[nodiscard]] bool holds(PromptPrefixHash prefixHash) const { return m_positions.contains(prefixHash); }
 
 private:
-    // Least recently used first. Invariant: has the keys of m_positions, at most maxEntries.
+    // Least recently used first. Invariant: contains exactly the keys of m_positions, at most maxEntries.
     std::list<PromptPrefixHash> m_lruOrder;
     absl::flat_hash_map<PromptPrefixHash, std::list<PromptPrefixHash>::iterator> m_positions;
 };
--- a/Libraries/LibRouting/Events.cpp
+++ b/Libraries/LibRouting/Events.cpp
@@ -1,4 +1,4 @@
-// Names of phases and decisions, as they stand in logs and answers.
+// Names of target phases and decisions as used in logs and responses.
 
 #include <LibRouting/Events.h>
 
--- a/Libraries/LibRouting/Events.h
+++ b/Libraries/LibRouting/Events.h
@@ -1,7 +1,6 @@
-// Every event that the routing decisions take and every action that they give, with units.
-// A host feeds events with the current time and carries the actions out in order; it needs nothing else to
-// embed this library. The decisions hold no socket, thread, clock or log, and replay bit for bit from a log
-// of events.
+// Input events and output actions of the routing logic, with their units. A host passes each event with the
+// current time and executes the returned actions in order; embedding this library needs nothing else. The
+// routing logic uses no sockets, threads, clocks or logs, so a recorded event log replays deterministically.
 
 #pragma once
 
@@ -19,40 +18,40 @@
 
 namespace Wisteria {
 
-// A hash of a prompt's first block; equal heads share an engine's cached prefix.
+// Hash of the first block of a prompt. Prompts with equal hashes can share an engine's cached prefix.
 using PromptPrefixHash = StrongId<struct PromptPrefixHashTag, std::uint64_t>;
 
-// Live targets take work. Suspect ones take it only when no other is left. Leaving ones finish what runs.
+// Live targets accept work. Suspect targets accept work only if no live target is left. Leaving targets only
+// finish their running work.
 enum class TargetPhase { Live, Suspect, Leaving, Gone };
 [[nodiscard]] std::string_view targetPhaseName(TargetPhase);
 
 enum class FinishReason { Stop, Length };
 
-// Why an attempt ended before its answer was whole.
+// Why an attempt ended before the answer was complete.
 enum class AttemptFailure {
-    // The engine did no work: connection refused, or a status that says so.
+    // The engine did no work: the connection was refused, or the status says so.
     NotStarted,
-    // The engine is full and says so.
+    // The engine reported that it is overloaded.
     EngineOverloaded,
-    // The stream broke off, an event was malformed, or the engine reported an error of its own.
+    // The stream broke off, an event was malformed, or the engine reported an internal error.
     StreamLost,
-    // The engine says that the request itself is wrong. Another engine would say the same.
+    // The engine rejected the request as invalid. Other engines would reject it too.
     RequestRejected,
-    // A re-attach found no such stream any more.
+    // The engine no longer knows the stream to re-attach to.
     StreamUnknown,
 };
 
-// ---- Events
-// -----------------------------------------------------------------------------------------------------
+// Events accepted by Router::handle().
 
-// Where the stream of a caller that comes back stood, from its last event id.
+// The stream position of a reconnecting caller, taken from its last event id.
 struct ResumePoint
 {
     TargetId target;
     EngineStreamId stream;
-    // Offset in the answer of the stream's first token.
+    // Offset of the stream's first token in the answer.
     TokenOffset streamStart;
-    // Tokens that the caller holds already; the answer goes on with this offset.
+    // Number of tokens that the caller already has. The answer continues at this offset.
     TokenOffset received;
 };
 
@@ -65,12 +64,12 @@
     PromptPrefixHash prefixHash;
     std::uint32_t promptTokens{0};
     std::uint32_t maxTokens{0};
-    // When the caller stops waiting.
+    // When the caller stops waiting for the answer.
     absl::Time deadline{absl::InfiniteFuture()};
     std::optional<ResumePoint> resume;
-    // ItemStamp::changedIn of the service when the generation was first opened, for a caller that comes back.
-    // A host that carries it along (in the generation's id, say) keeps an answer from going on with another
-    // model.
+    // For a reconnecting caller: ItemStamp::changedIn of the service when the generation was first opened. If
+    // the host carries it along (for example in the generation id), an answer cannot continue with a
+    // different model.
     std::optional<ConfigVersion> openedUnder;
 };
 
@@ -79,7 +78,7 @@
     GenerationId generation;
 };
 
-// The engine accepted the attempt and named its stream.
+// The engine accepted the attempt and assigned a stream id.
 struct AttemptStarted
 {
     AttemptId attempt;
@@ -96,7 +95,7 @@
 struct AttemptFinished
 {
     AttemptId attempt;
-    // One past the last token's offset.
+    // One past the offset of the last token.
     TokenOffset end;
     FinishReason reason{FinishReason::Stop};
 };
@@ -116,7 +115,7 @@
     TargetPhase phase{TargetPhase::Live};
 };
 
-// An engine's own load report; it lags by `age`.
+// The engine's load report, measured `age` ago.
 struct LoadReported
 {
     TargetId target;
@@ -125,7 +124,7 @@
     absl::Duration age{absl::ZeroDuration()};
 };
 
-// Changes of an engine's prefix cache. They come late and with gaps, so they are hints.
+// Changes to an engine's prefix cache. Reports arrive late and with gaps, so they are only hints.
 struct CacheReported
 {
     TargetId target;
@@ -138,17 +137,17 @@
     FleetConfiguration configuration;
 };
 
-// Whether new work may be taken; a router that may hold an old configuration takes none.
+// Whether the configuration is fresh enough to accept new work.
 struct FreshnessChanged
 {
     bool fresh{false};
 };
 
-// Demand of the other routers for the shared workspace limits, from gossip.
+// The other routers' use of the shared workspace limits, from gossip.
 struct WorkspaceDemandReported
 {
     WorkspaceName workspace;
-    // Generations that run or wait at all other live routers together.
+    // Generations running or queued at all other live routers together.
     std::uint32_t remoteGenerations{0};
     std::uint32_t liveRouters{1};
 };
@@ -157,7 +156,7 @@
 {
 };
 
-// The time that nextWakeUp() asked for has come.
+// The time returned by nextWakeUp() has been reached.
 struct Tick
 {
 };
@@ -167,10 +166,9 @@
                  TargetChanged, LoadReported, CacheReported, ConfigurationChanged, FreshnessChanged,
                  WorkspaceDemandReported, DrainStarted, Tick>;
 
-// ---- Actions
-// ----------------------------------------------------------------------------------------------------
+// Actions returned by Router::handle().
 
-// Opens a stream with the prompt and the answer's first `from` tokens as the prefix.
+// Opens a stream. Its prefix is the prompt and the first `from` tokens of the answer.
 struct StartAttempt
 {
     AttemptId attempt;
@@ -180,7 +178,7 @@
     Urgency urgency{Urgency::Patient};
 };
 
-// Attaches to a stream that runs already and takes its tokens from offset `from` of the answer on.
+// Attaches to a running stream and reads its tokens from answer offset `from`.
 struct ReattachAttempt
 {
     AttemptId attempt;
@@ -196,14 +194,14 @@
     AttemptId attempt;
 };
 
-// Tokens come in the order of their offsets, each once.
+// Each token is delivered once, in offset order.
 struct DeliverToken
 {
     GenerationId generation;
     AttemptId attempt;
     TokenOffset offset;
     std::string text;
-    // What the caller's last event id must name to resume elsewhere.
+    // Values that the last event id must contain so that the caller can resume at another router.
     TargetId target;
     EngineStreamId stream;
     TokenOffset streamStart;
@@ -216,16 +214,16 @@
     FinishReason reason{FinishReason::Stop};
 };
 
-// The final answer of a request that was given up, sent at once.
+// Final error response of a request that is given up, sent immediately.
 struct RefuseGeneration
 {
     GenerationId generation;
     Error error;
 };
 
-// The caller should go on at another router from its last event id. No token is lost, no work is thrown away:
-// the host closes the generation's engine connections without cancelling their streams, except for the
-// attempts that a CancelAttempt names.
+// Tells the caller to continue at another router from its last event id. No tokens or engine work are lost:
+// the host closes the engine connections of the generation without cancelling their streams, except for
+// attempts named by a CancelAttempt.
 struct HandOverGeneration
 {
     GenerationId generation;
@@ -234,7 +232,7 @@
 enum class DecisionKind { Start, Queue, Resume, Hedge, Reattach, Adopt, Refuse, HandOver, Complete };
 [[nodiscard]] std::string_view decisionName(DecisionKind);
 
-// One log line: what was decided for which request, the alternatives and the reason.
+// One decision log line: the decision, its generation, the alternatives and the reason.
 struct RecordDecision
 {
     DecisionKind kind{DecisionKind::Start};
--- a/Libraries/LibRouting/FixedStallPolicy.cpp
+++ b/Libraries/LibRouting/FixedStallPolicy.cpp
@@ -1,4 +1,4 @@
-// Registers the baseline with a constant stall limit.
+// Registers the baseline policy with a constant stall limit.
 
 #include <LibRouting/FixedStallPolicy.h>
 
--- a/Libraries/LibRouting/FixedStallPolicy.h
+++ b/Libraries/LibRouting/FixedStallPolicy.h
@@ -1,4 +1,4 @@
-// Baseline: a constant stall limit, then a race on the selector's target.
+// Baseline policy: a constant stall limit, then a hedged attempt on the target chosen by the selector.
 
 #pragma once
 
--- a/Libraries/LibRouting/Generation.cpp
+++ b/Libraries/LibRouting/Generation.cpp
@@ -1,4 +1,4 @@
-// Lookup of a generation's attempts.
+// Attempt lookup by id.
 
 #include <LibRouting/Generation.h>
 
--- a/Libraries/LibRouting/Generation.h
+++ b/Libraries/LibRouting/Generation.h
@@ -1,4 +1,4 @@
-// One caller's answer in the making, and the engine streams that work on it.
+// State of one caller's generation and of the attempts that work on it.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 enum class AttemptKind { Start, Reattach };
 
-// Whether an attempt has brought a token past its prefix.
+// Whether an attempt has produced a token beyond its prefix.
 enum class AttemptProgress { None, Producing };
 
 struct Attempt
@@ -20,48 +20,51 @@
     AttemptId id;
     TargetId target;
     AttemptKind kind{AttemptKind::Start};
-    // Empty until the engine named it.
+    // Empty until the engine has assigned a stream id.
     EngineStreamId stream;
     TokenOffset streamStart;
     absl::Time startedAt;
-    // The start, or the last token that counted.
+    // Time of the start or of the last token that advanced the answer.
     absl::Time lastProgress;
     AttemptProgress progress{AttemptProgress::None};
 };
 
 struct Generation
 {
-    // Streams that work on one generation at once.
+    // Maximum number of concurrent attempts per generation.
     static constexpr std::size_t maxAttempts = 2;
 
     RequestOpened request;
-    // The model at opening. No attempt starts on targets of another one.
+    // The model when the generation was opened. No attempt starts on targets with another model.
     ModelName model;
     std::string modelVersion;
 
-    // Invariant: every offset below was delivered to the caller exactly once, here or by earlier routers.
+    // Invariant: every token below this offset was delivered to the caller exactly once, by this or an
+    // earlier router.
     TokenOffset next;
-    // Invariant: at most maxAttempts, on different targets, each with the prefix below `next`.
+    // Invariant: at most maxAttempts attempts, on different targets, each with a prefix that ends at or
+    // before `next`.
     std::vector<Attempt> attempts;
-    // Invariant: empty while several attempts race; else empty or the only attempt.
+    // The attempt whose tokens are delivered. Invariant: empty while several attempts run; otherwise empty or
+    // the only attempt.
     std::optional<AttemptId> adopted;
-    // Set while the generation waits for a slot.
+    // Set while the generation waits in the admission queue.
     std::optional<QueuePriority> queuePriority;
 
     std::uint32_t attemptsStarted{0};
     std::uint32_t attemptsSinceProgress{0};
-    // Targets that failed the generation since its last token.
+    // Targets that failed this generation since its last token.
     std::vector<TargetId> failedTargets;
-    // When the next attempt is made, while it is put off. Its share of the retry budget is taken already.
+    // Start time of the next attempt while it is in backoff. Its retry budget has already been consumed.
     std::optional<absl::Time> resumeAt;
-    // Silences are not looked at again before.
+    // Stalls are not handled before this time.
     absl::Time nextStallCheck{absl::InfinitePast()};
-    // When the generation is due in the wake-up queue.
+    // Time of the generation's entry in the wake-up queue.
     absl::Time wakeUpAt{absl::InfiniteFuture()};
 
     [[nodiscard]] const GenerationId &id() const { return request.generation; }
     [[nodiscard]] bool hasDelivered() const { return next.value() > 0; }
-    // All tokens are there; only the engine's closing word is missing.
+    // All requested tokens were delivered; only the finish event of the engine is missing.
     [[nodiscard]] bool hasAllTokens() const
     {
         return request.maxTokens > 0 && next.value() >= request.maxTokens;
--- a/Libraries/LibRouting/GenerationCloser.cpp
+++ b/Libraries/LibRouting/GenerationCloser.cpp
@@ -1,4 +1,4 @@
-// Ends generations: whole, refused, handed over or left by their caller.
+// Ends generations that are complete, refused, handed over or abandoned by their caller.
 
 #include <LibRouting/GenerationCloser.h>
 
@@ -6,7 +6,8 @@
 
 namespace detail {
 
-// Whether the caller's last event id names the attempt's stream, so that the next router can re-attach to it.
+// Whether the caller's last event id names the stream of the attempt, so that another router can re-attach to
+// it.
 bool isKnownToCaller(const Attempt &attempt)
 {
     return attempt.progress == AttemptProgress::Producing || attempt.kind == AttemptKind::Reattach;
@@ -34,15 +35,15 @@
 {
     if (m_state.now < generation.request.deadline)
         return false;
-    refuse(generation, ErrorCode::DeadlineExceeded, "the caller's timeout passed");
+    refuse(generation, ErrorCode::DeadlineExceeded, "the caller's deadline has passed");
     return true;
 }
 
 void GenerationCloser::handOver(Generation &generation)
 {
-    m_state.record(DecisionKind::HandOver, generation.id(), TargetId(), "this router stops");
+    m_state.record(DecisionKind::HandOver, generation.id(), TargetId(), "this router is shutting down");
     m_state.actions.push_back(HandOverGeneration{generation.id()});
-    // The stream runs on for the next router; only what the caller cannot name is cancelled.
+    // Streams that the caller can name keep running for the next router. All other attempts are cancelled.
     std::vector<AttemptId> kept;
     for (const auto &it : generation.attempts) {
         if (detail::isKnownToCaller(it))
--- a/Libraries/LibRouting/GenerationCloser.h
+++ b/Libraries/LibRouting/GenerationCloser.h
@@ -1,4 +1,5 @@
-// The ways in which a generation leaves a router. Each tells the caller at once and frees everything.
+// Ends generations. Every method releases all resources of the generation, and all except discard() notify
+// the caller immediately.
 
 #pragma once
 
@@ -12,16 +13,16 @@
     GenerationCloser(RoutingState &state, AttemptLauncher &launcher)
         : m_state(state), m_launcher(launcher) { }
 
-    // The reference is dead after each of these.
+    // Each of the following methods destroys the generation and invalidates the reference.
     void complete(Generation &, FinishReason);
-    // A wait of which more is known than its kind tells goes in as `retryDelay`.
+    // `retryDelay` overrides the default retry delay of the error code.
     void refuse(Generation &, ErrorCode, std::string detail,
                 std::optional<absl::Duration> retryDelay = std::nullopt);
     void handOver(Generation &);
     void discard(Generation &);
 
-    // Refuses the generation once its caller has stopped waiting; true when it did. A host that was paused
-    // may bring other events before the Tick of a deadline.
+    // Refuses the generation if its deadline has passed and returns true if it did. If the host process was
+    // paused, other events may arrive before the Tick for the deadline.
     [[nodiscard]] bool refuseIfExpired(Generation &);
     // Refuses a request that was not admitted.
     void refuse(const GenerationId &, ErrorCode, std::string detail,
--- a/Libraries/LibRouting/GenerationTable.cpp
+++ b/Libraries/LibRouting/GenerationTable.cpp
@@ -1,4 +1,4 @@
-// Indexes over the generations of one router.
+// Indexes of the generations of one router.
 
 #include <LibRouting/GenerationTable.h>
 
--- a/Libraries/LibRouting/LeastLoadedSelector.cpp
+++ b/Libraries/LibRouting/LeastLoadedSelector.cpp
@@ -1,4 +1,4 @@
-// Least load first; ties go to the first id.
+// Selects the lowest utilisation. Ties go to the lowest id.
 
 #include <LibRouting/LeastLoadedSelector.h>
 
--- a/Libraries/LibRouting/LeastLoadedSelector.h
+++ b/Libraries/LibRouting/LeastLoadedSelector.h
@@ -1,4 +1,4 @@
-// Chooses the target with the least load for its slots. A baseline that knows nothing of caches.
+// Baseline selector: chooses the target with the lowest load per slot and ignores caches.
 
 #pragma once
 
--- a/Libraries/LibRouting/PluginRegistry.h
+++ b/Libraries/LibRouting/PluginRegistry.h
@@ -1,5 +1,5 @@
-// The registry through which plug-ins of one interface are found by name. A plug-in registers itself by a
-// PluginRegistration at namespace scope; BuiltInPlugins.cpp makes the linker keep those of this library.
+// Registry of plug-ins by interface and name. A plug-in registers itself with a PluginRegistration at
+// namespace scope. BuiltInPlugins.cpp prevents the linker from dropping the plug-ins of this library.
 
 #pragma once
 
@@ -25,14 +25,14 @@
         return registry;
     }
 
-    // The name must be free.
+    // The name must not be registered yet.
     void add(std::string name, Factory factory)
     {
         const bool added = m_factories.emplace(std::move(name), factory).second;
         VERIFY(added);
     }
 
-    // Null when no plug-in has the name.
+    // Returns null if no plug-in has this name.
     [[nodiscard]] std::unique_ptr<Interface> create(std::string_view name) const
     {
         auto it = m_factories.find(name);
@@ -50,7 +50,7 @@
 private:
     PluginRegistry() = default;
 
-    // Invariant: changed only while the program's static objects are made, so reads need no lock.
+    // Invariant: modified only during static initialisation, so reads need no lock.
     std::map<std::string, Factory, std::less<>> m_factories;
 };
 
--- a/Libraries/LibRouting/Recovery.cpp
+++ b/Libraries/LibRouting/Recovery.cpp
@@ -1,4 +1,4 @@
-// Decides after a loss or a silence: race, resume, wait or refuse.
+// Decides how to continue after a lost or stalled attempt: hedge, resume, queue or refuse.
 
 #include <LibRouting/Recovery.h>
 
@@ -8,14 +8,16 @@
 
 namespace detail {
 
-// Attempts in a row without a new token before a generation is given up. What was delivered is worth more.
+// Consecutive attempts without a new token before a generation is given up. The limit is higher once tokens
+// have been delivered, because more work would be lost.
 constexpr std::uint32_t maxRetriesWithoutProgress = 3;
 constexpr std::uint32_t maxResumesWithoutProgress = 5;
-// Bounds the engine work of one request, however often its engines fail.
+// Bounds the engine work of one request regardless of how often engines fail.
 constexpr std::uint32_t maxTotalAttempts = 32;
-// Pauses before the resumes that follow the first two: by then it is the fleet that has a problem.
+// Backoff once more than two consecutive attempts have made no progress. Repeated failures by then suggest a
+// problem with the fleet rather than with one engine.
 constexpr absl::Duration initialBackoff = absl::Milliseconds(250);
-// A silence without an alternative is looked at again after this time.
+// Delay before a stall is checked again when no hedged attempt could be started.
 constexpr absl::Duration stallRecheckDelay = absl::Milliseconds(250);
 
 absl::Duration resumeBackoff(std::uint32_t attemptsSinceProgress)
@@ -88,7 +90,7 @@
         return true;
     const ServiceSpec *service = m_state.service(generation.request.service);
     if (generation.hasDelivered()) {
-        m_closer.refuse(generation, ErrorCode::AnswerLost, "the service's model has changed since");
+        m_closer.refuse(generation, ErrorCode::AnswerLost, "the model of the service has changed");
         return false;
     }
     if (!service) {
@@ -116,7 +118,7 @@
 
 void Recovery::noteFailure(Generation &generation, const TargetId &id, AttemptFailure failure)
 {
-    // The engine is well, it just has no such stream.
+    // The engine is healthy; it just no longer has the stream.
     if (failure == AttemptFailure::StreamUnknown)
         return;
     generation.failedTargets.push_back(id);
@@ -140,7 +142,7 @@
     if (replace || m_stallDetector.shouldAbandon(generation, stalled)) {
         const bool hasOther = generation.attempts.size() > 1;
         handleStreamBroken(generation, stalled.id);
-        // Without another attempt the generation may be closed by now.
+        // Without another attempt, the generation may already be closed.
         if (hasOther)
             handleStall(generation);
         return;
@@ -209,13 +211,13 @@
         m_launcher.start(generation, choice, DecisionKind::Resume);
         break;
     case TargetChoice::Outcome::NoCapacity:
-        m_state.record(DecisionKind::Queue, generation.id(), TargetId(), "resume: every target is full");
+        m_state.record(DecisionKind::Queue, generation.id(), TargetId(), "resume: all targets are full");
         generation.queuePriority = QueuePriority::Resume;
         m_state.queue.push(generation.request.service, QueuePriority::Resume, generation.request.workspace, 1,
                            generation.id());
         break;
     case TargetChoice::Outcome::NoTarget:
-        m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service is left");
+        m_closer.refuse(generation, ErrorCode::NoTargetAvailable, "no target of the service accepts work");
         break;
     }
 }
@@ -232,7 +234,8 @@
     }
     const auto kind = generation.hasDelivered() ? RetryBudget::Kind::Resume : RetryBudget::Kind::Retry;
     if (!tryConsumeBudget(kind)) {
-        m_closer.refuse(generation, ErrorCode::RetryBudgetExhausted, "too many retries at this router");
+        m_closer.refuse(generation, ErrorCode::RetryBudgetExhausted,
+                        "the retry budget of this router is exhausted");
         return false;
     }
     return true;
--- a/Libraries/LibRouting/Recovery.h
+++ b/Libraries/LibRouting/Recovery.h
@@ -1,4 +1,4 @@
-// Goes on with generations whose attempts failed or fell silent, within the retry budget.
+// Retries, resumes or hedges generations whose attempts failed or stalled, within the retry budget.
 
 #pragma once
 
@@ -12,20 +12,19 @@
 public:
     Recovery(RoutingState &, AttemptLauncher &, GenerationCloser &);
 
-    // The engine, or the connection to it, ended the attempt.
+    // The engine or the connection to it ended the attempt.
     void handle(const AttemptFailed &);
-    // The attempt is over at the engine without the answer's end.
+    // The engine ended the attempt before the answer was complete.
     void handleAttemptEnded(Generation &, AttemptId, AttemptFailure);
-    // The attempt is of no use any more, though the engine may still run it.
+    // The attempt is unusable, but the engine may still be running it.
     void handleStreamBroken(Generation &, AttemptId);
-    // All attempts at the target are lost.
+    // All attempts on the target are lost.
     void handleTargetGone(const TargetId &);
-    // The configuration has changed.
     void handleConfigurationChange(Generation &);
-    // The generation's wake-up is due.
     void handleWakeUp(Generation &);
 
-    // Makes the next attempt of a generation that has none; it may have to wait or be refused instead.
+    // Starts the next attempt of a generation that has none, possibly after a backoff. The generation may be
+    // queued or refused instead.
     void resumeOrRetry(Generation &);
 
     [[nodiscard]] absl::Time nextCheckAt(const Generation &generation) const
@@ -37,13 +36,14 @@
     void noteFailure(Generation &, const TargetId &, AttemptFailure);
     void handleStall(Generation &);
     void hedge(Generation &, const Attempt &stalled);
-    // Looks at the generation again a little later.
+    // Delays the next stall check of the generation.
     void postponeStallCheck(Generation &);
     void startNextAttempt(Generation &);
-    // Moves a generation without tokens to the service's present model; one with tokens cannot follow and is
-    // lost. False when the generation was refused instead.
+    // Switches a generation without delivered tokens to the service's current model. A generation with
+    // delivered tokens can't switch and is refused. Returns false if the generation was refused.
     [[nodiscard]] bool switchToCurrentModel(Generation &);
-    // False when the generation was refused instead.
+    // Checks the deadline, model, attempt limits and retry budget. Returns false if the generation was
+    // refused.
     [[nodiscard]] bool authorizeRetry(Generation &);
     [[nodiscard]] bool tryConsumeBudget(RetryBudget::Kind);
 
--- a/Libraries/LibRouting/RestartPolicy.cpp
+++ b/Libraries/LibRouting/RestartPolicy.cpp
@@ -1,4 +1,4 @@
-// Registers the baseline that starts again on the next target.
+// Registers the baseline policy that restarts on the next target.
 
 #include <LibRouting/RestartPolicy.h>
 
--- a/Libraries/LibRouting/RestartPolicy.h
+++ b/Libraries/LibRouting/RestartPolicy.h
@@ -1,5 +1,5 @@
-// Baseline: a constant stall limit, then the attempt is replaced on the next target in turn, without regard
-// to caches or to streams that still run.
+// Baseline policy: a constant stall limit, then a replacement attempt on the next target in round-robin
+// order. Ignores caches and streams that are still running.
 
 #pragma once
 
--- a/Libraries/LibRouting/ResumePolicy.h
+++ b/Libraries/LibRouting/ResumePolicy.h
@@ -1,5 +1,6 @@
-// When a silent attempt is taken for stalled, and where its generation goes on. Implementations are plug-ins,
-// named by a preset's ResumeSpec. No policy changes the rule that an answer goes on from its own prefix.
+// Decides when an attempt counts as stalled and where its generation continues. Implementations are plug-ins
+// named by the ResumeSpec of a preset. Every policy resumes an answer from the prefix that was already
+// delivered.
 
 #pragma once
 
@@ -12,11 +13,11 @@
 // What an attempt is waiting for.
 enum class WaitKind { FirstToken, NextToken, Reattach };
 
-// One silent attempt, as a policy sees it.
+// Inputs for the stall limit of one attempt.
 struct StallContext
 {
     WaitKind kind{WaitKind::NextToken};
-    // Longest silence that is normal for this engine and this kind of wait.
+    // Longest wait of this kind that is normal for this engine.
     absl::Duration expectedMaxWait;
     TargetPhase phase{TargetPhase::Live};
     // ResumeSpec::thrift.
@@ -24,13 +25,13 @@
 };
 
 enum class StallResponse {
-    // A second attempt runs beside the silent one, and the first of them to bring the next token wins.
+    // Starts a second attempt next to the stalled one. The first to produce the next token wins.
     Hedge,
-    // The silent attempt is cancelled before another one starts.
+    // Cancels the stalled attempt before another one starts.
     Replace,
 };
 
-// How the target of a further attempt is chosen.
+// How the target of the next attempt is chosen.
 enum class ResumeTargetStrategy { BySelector, MostCached, RoundRobin, Spread };
 
 enum class ReattachMode { Reattach, Restart };
@@ -40,11 +41,11 @@
 public:
     virtual ~ResumePolicy() = default;
 
-    // The silence after which the attempt is taken for stalled.
+    // Time without progress after which the attempt counts as stalled.
     [[nodiscard]] virtual absl::Duration stallLimit(const StallContext &) const = 0;
     [[nodiscard]] virtual StallResponse stallResponse() const = 0;
     [[nodiscard]] virtual ResumeTargetStrategy targetStrategy(double thrift) const = 0;
-    // What a caller's return from another router leads to while its stream may still run.
+    // What to do when a caller reconnects from another router while its stream may still be running.
     [[nodiscard]] virtual ReattachMode reattachMode() const = 0;
 };
 
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -1,4 +1,4 @@
-// A sliding window of one-second buckets.
+// Sliding window of one-second buckets.
 
 #include <LibRouting/RetryBudget.h>
 
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -1,14 +1,16 @@
-// Bounds the attempts beyond the first ones, so that a lost engine or failure domain starts no retry storm.
+// Limits attempts beyond the first one, so that the loss of an engine or failure domain causes no retry
+// storm.
 //
-// Three kinds draw from one window, under different limits:
-//  - Retry: nothing was delivered yet. Giving up costs the caller little, so the limit is hard: the preset's
-//    ratio of first attempts plus a small floor.
-//  - Race: a second attempt beside one that may still be alive. A guess that overload would make wrong for
-//    every stream at once, so it has the same hard limit.
-//  - Resume: the stream is lost and the caller holds part of its answer. Refusing it throws minutes of engine
-//    work away, and a resume takes the place of work that was admitted already, so it cannot multiply load as
-//    a retried request does. It may go past the ratio up to one resume for each running generation a window.
-// Resumes count against the limit of the others: while a domain is lost, retries and races stand back.
+// Three kinds of attempts share one sliding window but have different limits:
+//  - Retry: no token has been delivered. Refusing costs the caller little, so the limit is strict: the
+//    preset's ratio of first attempts plus a small constant.
+//  - Hedge: a second attempt next to one that may still be alive. Under overload every stream may look
+//    stalled, so the same strict limit applies.
+//  - Resume: the stream is lost and the caller has part of the answer. Refusing would waste minutes of
+//    engine work, and a resume replaces work that was already admitted, so it cannot multiply load as a
+//    retry does. It may exceed the ratio by up to one resume per running generation and window.
+// Resumes also count against the limit of retries and hedges, which are therefore suppressed while a domain
+// is lost.
 
 #pragma once
 
@@ -25,11 +27,12 @@
     enum class Kind { Retry, Hedge, Resume };
 
     static constexpr std::uint32_t windowSeconds = 30;
-    // Further attempts a window that need no first attempt, so that a quiet router can retry at all.
+    // Extra attempts per window that are allowed without first attempts, so that a router with little traffic
+    // can retry.
     static constexpr double minExtraAttemptsPerWindow = 5;
 
     void noteFirstAttempt(absl::Time now);
-    // Takes one further attempt out of the budget; false when it does not allow one.
+    // Consumes one extra attempt. Returns false if the budget does not allow it.
     [[nodiscard]] bool tryConsume(Kind, double ratio, std::uint32_t runningGenerations, absl::Time now);
 
 private:
@@ -43,7 +46,8 @@
     [[nodiscard]] Bucket &bucketAt(absl::Time now);
     [[nodiscard]] Bucket windowTotals(absl::Time now) const;
 
-    // Invariant: the bucket of second s is at s % windowSeconds, and stale once its `second` is older.
+    // Invariant: the bucket of second s is at index s % windowSeconds. A bucket whose `second` is older is
+    // stale.
     std::array<Bucket, windowSeconds> m_buckets{};
 };
 
--- a/Libraries/LibRouting/RoundRobinSelector.cpp
+++ b/Libraries/LibRouting/RoundRobinSelector.cpp
@@ -1,4 +1,4 @@
-// The first id after the one chosen last.
+// Selects the first id after the previously selected one.
 
 #include <LibRouting/RoundRobinSelector.h>
 
--- a/Libraries/LibRouting/RoundRobinSelector.h
+++ b/Libraries/LibRouting/RoundRobinSelector.h
@@ -1,4 +1,4 @@
-// Takes the targets in turn. A baseline that knows nothing of load or caches.
+// Baseline selector: chooses targets in round-robin order and ignores load and caches.
 
 #pragma once
 
--- a/Libraries/LibRouting/Router.h
+++ b/Libraries/LibRouting/Router.h
@@ -1,4 +1,4 @@
-// The routing decisions of one router: admission, choice of targets, resume after losses, drain.
+// Interface of the routing logic of one router: admission, target selection, resume after failures, drain.
 
 #pragma once
 
@@ -9,23 +9,23 @@
 
 namespace Wisteria {
 
-// A single-threaded state machine. All events of one router go through one instance.
+// A single-threaded state machine. All events of a router go through one instance.
 class Router
 {
 public:
-    // The incarnation's numbers of attempts start at one. The random source must outlive the router.
+    // Attempt ids start at one in each incarnation. The random source must outlive the router.
     [[nodiscard]] static std::unique_ptr<Router> create(RandomSource &random);
     virtual ~Router() = default;
 
-    // Takes one event at the given monotonic time, which never goes back. Unknown ids are ignored: late and
-    // crossed events are normal.
+    // Processes one event at the given monotonic time, which must not decrease. Unknown ids are ignored,
+    // because late and reordered events are normal.
     [[nodiscard]] virtual RoutingActions handle(const RoutingEvent &event, absl::Time now) = 0;
-    // When the next Tick is due; absl::InfiniteFuture() when none is.
+    // Time at which the next Tick is due, or absl::InfiniteFuture() if none is.
     [[nodiscard]] virtual absl::Time nextWakeUp() const = 0;
 
-    // Generations that run or wait here, by workspace, for the gossip.
+    // Number of generations running or queued at this router by workspace, for gossip.
     [[nodiscard]] virtual std::map<WorkspaceName, std::uint32_t> demand() const = 0;
-    // True when a drain has left nothing to finish.
+    // Whether the router is draining and has no generations left.
     [[nodiscard]] virtual bool isIdle() const = 0;
 };
 
--- a/Libraries/LibRouting/RoutingCore.cpp
+++ b/Libraries/LibRouting/RoutingCore.cpp
@@ -1,4 +1,4 @@
-// Dispatch of events, wake-ups and drain.
+// Event dispatch, wake-ups and drain.
 
 #include <LibRouting/RoutingCore.h>
 
@@ -8,9 +8,10 @@
 
 namespace detail {
 
-// A wake-up that comes later than this shows that this process did not run, so that no silence counts.
+// If a wake-up is late by more than this, the process itself was paused, and the time before does not count
+// as a stall.
 constexpr absl::Duration processPauseThreshold = absl::Milliseconds(250);
-// Estimates of load fade with time, so work that waits is looked at even without an event.
+// Load estimates decay over time, so the queue is checked at this interval even without events.
 constexpr absl::Duration queueCheckInterval = absl::Milliseconds(500);
 
 } // namespace detail
@@ -65,7 +66,7 @@
         m_state.targets.removeIfGone(event.target);
         return;
     }
-    // A new phase may bring the stall limits of its streams forward.
+    // A phase change may shorten the stall limits of the attempts on this target.
     for (const Generation *it : m_state.generations.all()) {
         if (std::ranges::count(it->attempts, event.target, &Attempt::target) > 0)
             m_state.markForReschedule(*it);
@@ -110,7 +111,7 @@
     if (m_state.drainingSince)
         return;
     m_state.drainingSince = m_state.now;
-    // What waits has no work to lose and starts sooner at a router that stays.
+    // Generations without attempts lose no engine work and start sooner at a router that keeps running.
     for (Generation *it : m_state.generations.all()) {
         if (it->attempts.empty())
             m_closer.handOver(*it);
--- a/Libraries/LibRouting/RoutingCore.h
+++ b/Libraries/LibRouting/RoutingCore.h
@@ -1,4 +1,4 @@
-// The implementation of Router: hands each event to the part that decides on it.
+// Implementation of Router. Dispatches each event to the component that handles it.
 
 #pragma once
 
--- a/Libraries/LibRouting/RoutingState.cpp
+++ b/Libraries/LibRouting/RoutingState.cpp
@@ -1,4 +1,4 @@
-// Configuration lookups and plug-ins of the preset in force.
+// Configuration lookups and the plug-ins of the active preset.
 
 #include <LibRouting/RoutingState.h>
 
@@ -12,8 +12,8 @@
 constexpr std::string_view defaultSelection = "affinity";
 constexpr std::string_view defaultPolicy = "adaptive";
 
-// NOTE: An operator's preset may name a plug-in that this router's version does not know. Serving goes on
-// with the default one.
+// NOTE: A preset may name a plug-in that this version of the router does not know. The default plug-in is
+// used then, so that the router keeps serving.
 template <typename Interface>
 std::unique_ptr<Interface> createPlugin(std::string_view name, std::string_view fallback)
 {
--- a/Libraries/LibRouting/RoutingState.h
+++ b/Libraries/LibRouting/RoutingState.h
@@ -1,4 +1,4 @@
-// The state that the routing decisions of one router share while they handle an event.
+// State shared by the components of one router while they handle an event.
 
 #pragma once
 
@@ -25,7 +25,7 @@
 
     RandomSource &random;
     FleetConfiguration configuration;
-    // A router takes no new work until its host says that the configuration is fresh.
+    // No new work is accepted until the host reports that the configuration is fresh.
     Freshness freshness{Freshness::MayBeStale};
     std::optional<absl::Time> drainingSince;
 
@@ -36,34 +36,35 @@
     RetryBudget budget;
     WaitEstimator waitEstimator;
 
-    // Invariant: made from the preset in force.
+    // Invariant: created from the active preset.
     std::unique_ptr<TargetSelector> selector;
-    // Invariant: holds every policy that the preset in force names, by that name.
+    // Invariant: contains every policy named by the active preset, by that name.
     std::map<std::string, std::unique_ptr<ResumePolicy>> policies;
     RoundRobinSelector roundRobin;
 
-    // Of the event that is handled.
+    // Time of the current event and the actions that it causes.
     absl::Time now;
     RoutingActions actions;
-    // Generations whose wake-up must be worked out anew.
+    // Generations whose wake-up must be recomputed.
     std::set<GenerationId> pendingReschedule;
-    // Whether the event may have made room for work that waits.
+    // Whether the current event may have freed capacity for queued requests.
     bool capacityMayHaveChanged{false};
-    // Silence counts from here at most: before, this process itself was not listening.
+    // When this process resumed after its last pause. Stall detection ignores the time before, because no
+    // events were processed then.
     absl::Time processResumedAt{absl::InfinitePast()};
 
-    // Takes a configuration that is newer than the present one; older ones change nothing.
+    // Applies a configuration if it is newer than the current one and ignores it otherwise.
     void apply(const FleetConfiguration &);
 
     [[nodiscard]] const ServiceSpec *service(const ServiceName &) const;
     [[nodiscard]] const WorkspaceSpec *workspace(const WorkspaceName &) const;
     [[nodiscard]] const ResumeSpec &resumeSpec(const ServiceName &) const;
     [[nodiscard]] const ResumePolicy &resumePolicy(const ServiceName &) const;
-    // Whether the service still runs the model that the generation was opened with.
+    // Whether the service still runs the model with which the generation was opened.
     [[nodiscard]] bool hasSameModel(const Generation &) const;
 
     void markForReschedule(const Generation &generation) { pendingReschedule.insert(generation.id()); }
-    // Spreads the callers that come back: between one and one and a half times the base.
+    // Returns a random delay between 1 and 1.5 times the base, to spread out retrying callers.
     [[nodiscard]] absl::Duration jitteredRetryDelay(absl::Duration base);
     void record(DecisionKind, const GenerationId &, TargetId chosen, std::string reason,
                 std::vector<TargetId> alternatives = {});
--- a/Libraries/LibRouting/Sequencer.cpp
+++ b/Libraries/LibRouting/Sequencer.cpp
@@ -1,4 +1,4 @@
-// Adoption and delivery.
+// Adopts attempts and delivers their tokens.
 
 #include <LibRouting/Sequencer.h>
 
@@ -19,7 +19,7 @@
 void Sequencer::handle(const TokenArrived &event)
 {
     Generation *generation = m_state.generations.findByAttempt(event.attempt);
-    // A re-attached stream may repeat what the caller holds already.
+    // A re-attached stream may repeat tokens that the caller already has.
     if (!generation || event.offset < generation->next)
         return;
     if (event.offset > generation->next) {
@@ -56,7 +56,8 @@
 {
     const AttemptId winner = attempt.id;
     m_state.record(DecisionKind::Adopt, generation.id(), attempt.target,
-                   generation.attempts.size() > 1 ? "first to bring the next token" : "first token");
+                   generation.attempts.size() > 1 ? "first attempt to produce the next token"
+                                                  : "first token");
     m_launcher.cancelAllBut(generation, winner);
     generation.adopted = winner;
     m_state.markForReschedule(generation);
--- a/Libraries/LibRouting/Sequencer.h
+++ b/Libraries/LibRouting/Sequencer.h
@@ -1,4 +1,4 @@
-// Puts the tokens of an answer in order: each offset once, and only from the attempt that is adopted.
+// Delivers the tokens of an answer in order, each offset once and only from the adopted attempt.
 
 #pragma once
 
@@ -16,7 +16,7 @@
     void handle(const AttemptFinished &);
 
 private:
-    // Makes the attempt the only one that the answer goes on with.
+    // Makes the attempt the only source of the answer and cancels all others.
     void adopt(Generation &, const Attempt &);
     void noteProgress(const Generation &, Attempt &);
 
--- a/Libraries/LibRouting/SpreadTargetSelection.cpp
+++ b/Libraries/LibRouting/SpreadTargetSelection.cpp
@@ -1,4 +1,4 @@
-// Weighted rendezvous hashing by generation.
+// Weighted rendezvous hashing on the generation id.
 
 #include <LibRouting/SpreadTargetSelection.h>
 
@@ -11,12 +11,12 @@
 
 namespace detail {
 
-// How much more an engine counts that is said to hold the prompt's head.
+// Weight multiplier for an engine that reports the prompt prefix as cached.
 constexpr double cachedPrefixSpreadWeight = 2;
-// Keeps the order among engines that are all full.
+// Keeps weights positive, so that full engines remain ordered by their hash.
 constexpr double minFreeSlotShare = 0.01;
 
-// A fixed number in (0, 1) for each pair of generation and target.
+// Returns a deterministic value in (0, 1) for each pair of generation and target.
 double spreadUniform(const GenerationId &generation, const TargetId &target)
 {
     const std::uint64_t seed = XXH3_64bits(generation.value().data(), generation.value().size());
--- a/Libraries/LibRouting/SpreadTargetSelection.h
+++ b/Libraries/LibRouting/SpreadTargetSelection.h
@@ -1,4 +1,4 @@
-// Chooses the target on which a lost generation goes on, when many are lost at once.
+// Selects the target on which a lost generation continues when many generations are lost at once.
 
 #pragma once
 
@@ -8,9 +8,10 @@
 
 namespace Wisteria {
 
-// Routers learn of each other's resumes only by lagging load reports. So each generation draws its own
-// target, weighted by free slots, and prompts that share a head do not meet on the engine that holds it.
-// Targets outside the failure domain of the lost one are preferred, since a whole domain may be lost.
+// Routers learn about each other's resumes only through delayed load reports. Each generation therefore
+// selects its own pseudo-random target, weighted by free slots, so that prompts with a common prefix do not
+// all go to the engine that caches it. Targets outside the failure domain of the lost target are preferred,
+// because the whole domain may be down.
 [[nodiscard]] std::size_t selectSpreadTarget(std::span<const TargetCandidate>, const GenerationId &,
                                              const std::optional<FailureDomain> &lostDomain);
 
--- a/Libraries/LibRouting/StallDetector.cpp
+++ b/Libraries/LibRouting/StallDetector.cpp
@@ -1,4 +1,4 @@
-// Stall limits from the engines' own gaps, through the service's resume policy.
+// Stall limits from the engines' token latencies and the resume policy of the service.
 
 #include <LibRouting/StallDetector.h>
 
@@ -8,10 +8,10 @@
 
 namespace detail {
 
-// An attempt is given up for good after this many stall limits, and not before the least time.
+// An attempt is abandoned after this many stall limits, but not before minAbandonTimeout.
 constexpr double abandonFactor = 4;
 constexpr absl::Duration minAbandonTimeout = absl::Seconds(10);
-// Wake-ups are rounded up to this grid, so that a host with many streams is woken a bounded number of times.
+// Wake-ups are rounded up to a multiple of this, which bounds the wake-up rate of a host with many streams.
 constexpr absl::Duration wakeUpGranularity = absl::Milliseconds(20);
 
 WaitKind waitKind(const Attempt &attempt)
@@ -80,7 +80,7 @@
         return deadline;
     if (generation.attempts.empty())
         return std::min(generation.resumeAt.value_or(m_state.now), deadline);
-    // A silence counts once all attempts are silent.
+    // A stall is handled only once all attempts have stalled.
     absl::Time due = generation.nextStallCheck;
     for (const auto &it : generation.attempts)
         due = std::max(due, idleSince(it) + stallLimit(generation, it));
--- a/Libraries/LibRouting/StallDetector.h
+++ b/Libraries/LibRouting/StallDetector.h
@@ -1,4 +1,4 @@
-// Tells a stalled attempt from a slow one, and when a generation must be looked at again.
+// Distinguishes stalled attempts from slow ones and schedules the next check of a generation.
 
 #pragma once
 
@@ -11,17 +11,17 @@
 public:
     explicit StallDetector(const RoutingState &state) : m_state(state) { }
 
-    // The silence after which the attempt is taken for stalled.
+    // Time without progress after which the attempt counts as stalled.
     [[nodiscard]] absl::Duration stallLimit(const Generation &, const Attempt &) const;
     [[nodiscard]] bool isStalled(const Generation &, const Attempt &) const;
-    // Whether the attempt has been silent for so long that waiting for it is no use, whatever the
-    // alternatives.
+    // Whether the attempt has been stalled for so long that it should be abandoned even if there is no
+    // alternative.
     [[nodiscard]] bool shouldAbandon(const Generation &, const Attempt &) const;
-    // Whether all of this router's streams at the attempt's target fell silent with it: a sign of a lost
-    // engine, while a single silent stream may just have been put back by the engine's scheduler.
+    // Whether all streams of this router on the attempt's target have stalled. That suggests that the engine
+    // is lost, whereas a single stalled stream may just have been preempted by the engine's scheduler.
     [[nodiscard]] bool isTargetStalled(const Generation &, const Attempt &) const;
 
-    // When the generation must be looked at again unless an event comes first.
+    // When to check the generation again if no event arrives before.
     [[nodiscard]] absl::Time nextCheckAt(const Generation &) const;
 
 private:
--- a/Libraries/LibRouting/TargetSelector.h
+++ b/Libraries/LibRouting/TargetSelector.h
@@ -1,5 +1,5 @@
-// The choice among targets that may all take an attempt. Implementations are plug-ins, named by a preset's
-// `selection`.
+// Interface for selecting one of several eligible targets. Implementations are plug-ins named by the
+// `selection` setting of a preset.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace Wisteria {
 
-// A target that may take the attempt, as this router sees it.
+// An eligible target with the load that this router estimates for it.
 struct TargetCandidate
 {
     TargetId id;
@@ -21,7 +21,7 @@
     std::uint32_t slots{1};
     bool hasCachedPrefix{false};
 
-    // Above one where streams wait at the engine.
+    // Greater than one when requests are queued at the engine.
     [[nodiscard]] double utilisation() const { return static_cast<double>(load) / slots; }
 };
 
@@ -30,9 +30,9 @@
 public:
     virtual ~TargetSelector() = default;
 
-    // The index of the chosen candidate. There is at least one, and they come in the order of their ids.
+    // Returns the index of the selected candidate. The candidates are ordered by id and not empty.
     [[nodiscard]] virtual std::size_t select(std::span<const TargetCandidate>, PromptPrefixHash) = 0;
-    // Why, for the decision's log line.
+    // The reason to write to the decision log.
     [[nodiscard]] virtual std::string_view reason() const = 0;
 };
 
--- a/Libraries/LibRouting/TargetState.cpp
+++ b/Libraries/LibRouting/TargetState.cpp
@@ -1,4 +1,4 @@
-// Load and failure estimates of one target.
+// Load estimation and failure tracking for one target.
 
 #include <LibRouting/TargetState.h>
 
@@ -13,9 +13,9 @@
 constexpr absl::Duration initialCooldown = absl::Seconds(2);
 constexpr absl::Duration maxCooldown = absl::Seconds(30);
 constexpr absl::Duration overloadCooldown = absl::Milliseconds(500);
-// After this time a report says nothing any more, and only the own streams count.
+// Older load reports are ignored, and only the streams of this router count.
 constexpr absl::Duration reportLifetime = absl::Seconds(15);
-// Without reports the list of own changes is cut at this length.
+// Bounds the list of local changes when no reports arrive.
 constexpr std::size_t maxLocalChanges = 256;
 
 } // namespace detail
@@ -23,7 +23,7 @@
 void TargetState::apply(const LoadReported &report, absl::Time now)
 {
     const absl::Time measuredAt = now - report.age;
-    // Reports may cross.
+    // Reports may arrive out of order.
     if (measuredAt < m_reportedAt)
         return;
     m_reportedLoad = report.running + report.waiting;
@@ -59,7 +59,7 @@
 
 void TargetState::noteFailure(absl::Time now)
 {
-    // The streams of a dead engine fail together; that is one failure.
+    // All streams of a failed engine fail together and count as one failure.
     if (isCoolingDown(now))
         return;
     constexpr std::uint32_t maxDoublings = 4;
--- a/Libraries/LibRouting/TargetState.h
+++ b/Libraries/LibRouting/TargetState.h
@@ -1,4 +1,4 @@
-// What one router knows of one target: phase, estimated load, cached prompt heads, token gaps, recent
+// One router's view of a target: phase, estimated load, cached prompt prefixes, token latency and recent
 // failures.
 
 #pragma once
@@ -20,13 +20,14 @@
     void apply(const CacheReported &);
 
     void noteAttemptStarted(absl::Time now);
-    // A stream that ran already is in the engine's report; only the own count rises.
+    // The stream is already included in the engine's load report, so only the local count increases.
     void noteReattachStarted() { ++m_localAttempts; }
     void noteAttemptEnded(absl::Time now);
 
-    // The target is passed over for a while, longer with each failure in a row.
+    // Starts a cooldown during which the target is avoided. It doubles with each consecutive failure, up to a
+    // limit.
     void noteFailure(absl::Time now);
-    // The engine said that it is full.
+    // The engine reported that it is overloaded.
     void noteOverloaded(absl::Time now);
     void noteProgress(absl::Time now);
 
@@ -36,7 +37,8 @@
         return m_properties.phase == TargetPhase::Live || m_properties.phase == TargetPhase::Suspect;
     }
     [[nodiscard]] bool isCoolingDown(absl::Time now) const { return now < m_cooldownEnd; }
-    // Streams that run or wait at the engine: its last report, corrected by what this router did since.
+    // Estimated number of streams running or queued at the engine: its last report, adjusted by later changes
+    // made by this router.
     [[nodiscard]] std::uint32_t load(absl::Time now) const;
     [[nodiscard]] absl::Time lastProgress() const { return m_lastProgress; }
 
@@ -46,7 +48,7 @@
     [[nodiscard]] const CacheHints &cache() const { return m_cache; }
 
 private:
-    // An own change of the load that the last report cannot contain.
+    // A load change by this router that the last report cannot include.
     struct LocalLoadChange
     {
         absl::Time at;
@@ -59,9 +61,9 @@
 
     std::uint32_t m_reportedLoad{0};
     absl::Time m_reportedAt{absl::InfinitePast()};
-    // Attempts of this router that run at the target.
+    // Attempts of this router that are running on the target.
     std::uint32_t m_localAttempts{0};
-    // Invariant: ordered by time; none is older than the report.
+    // Invariant: ordered by time, and none is older than the report.
     std::deque<LocalLoadChange> m_localChangesSinceReport;
 
     std::uint32_t m_consecutiveFailures{0};
--- a/Libraries/LibRouting/TargetTable.cpp
+++ b/Libraries/LibRouting/TargetTable.cpp
@@ -1,4 +1,4 @@
-// Targets by id and service, and the tiers in which they may be used.
+// Indexes targets by id and service and selects candidates by tier.
 
 #include <LibRouting/TargetTable.h>
 
@@ -10,7 +10,7 @@
 
 namespace detail {
 
-// The tiers in which targets are used: a later one only when no target of the earlier ones exists.
+// Preference tiers of targets. A tier is used only if no target of an earlier one exists.
 enum class TargetTier { Healthy, Suspect, CoolingDown, FailedForRequest, None };
 
 TargetTier targetTier(const TargetState &target, const CandidateQuery &query, absl::Time now)
@@ -31,8 +31,8 @@
     return {XXH64(id.value().data(), id.value().size(), 0), id};
 }
 
-// Urgent work takes a reserved target that has a free slot, or any that has one, or else waits its turn at an
-// engine.
+// Restricts urgent work to reserved targets with a free slot, or else to any target with a free slot. If
+// there is none, all candidates remain and the request queues at an engine.
 void preferFreeSlots(std::vector<TargetCandidate> &candidates, const std::set<TargetId> &reserved)
 {
     auto isFull = [](const TargetCandidate &it) { return it.load >= it.slots; };
@@ -117,7 +117,7 @@
     const bool isPatient = query.slotClass == SlotClass::Patient;
     std::ranges::copy_if(it->second, std::back_inserter(ids),
                          [&](const TargetId &id) { return !isPatient || !reserved.contains(id); });
-    // When nothing else is left, the reserve serves everyone.
+    // If no other target accepts work, reserved targets serve all requests.
     const bool anyAcceptsWork =
         std::ranges::any_of(ids, [&](const TargetId &id) { return m_targets.at(id).acceptsNewWork(); });
     if (!anyAcceptsWork)
--- a/Libraries/LibRouting/TargetTable.h
+++ b/Libraries/LibRouting/TargetTable.h
@@ -1,4 +1,4 @@
-// All targets that this router knows, and which of them may take an attempt.
+// All targets known to this router and their eligibility for attempts.
 
 #pragma once
 
@@ -10,14 +10,14 @@
 
 namespace Wisteria {
 
-// How far an attempt may fill a target, and which targets are kept from it.
+// How far an attempt may fill a target and which targets are closed to it.
 enum class SlotClass {
     // Leaves the urgent reserve free.
     Patient,
-    // A patient answer that lost its stream: it may go past the slots, so that it does not wait behind new
+    // A patient generation that lost its stream. It may exceed the slots, so that it does not wait behind new
     // work.
     Resumed,
-    // Takes reserved targets first; may go past the slots, since the engine serves it by priority.
+    // Prefers reserved targets and may exceed the slots, because the engine schedules it by priority.
     Urgent,
 };
 
@@ -27,17 +27,17 @@
     PromptPrefixHash prefixHash;
     SlotClass slotClass{SlotClass::Patient};
     double urgentReserve{0};
-    // Targets that already run the generation. They are never candidates.
+    // Targets that already run this generation. They are never candidates.
     std::vector<TargetId> running;
-    // Targets that failed the generation. They are candidates only when no other is left.
+    // Targets that failed this generation. They are candidates only if no other target is left.
     std::vector<TargetId> failed;
 };
 
 struct Candidates
 {
-    // In the order of their ids.
+    // Ordered by id.
     std::vector<TargetCandidate> available;
-    // Whether any target could take the attempt once it has room.
+    // Whether any target could take the attempt once it has capacity.
     bool anyExists{false};
 };
 
@@ -45,7 +45,7 @@
 {
 public:
     void apply(const TargetChanged &);
-    // Drops a gone target, so that replaced VMs leave nothing behind.
+    // Removes the target if it is gone, so that replaced VMs leave no entries behind.
     void removeIfGone(const TargetId &);
 
     // Null for targets that are gone or were never reported.
@@ -53,25 +53,25 @@
     [[nodiscard]] const TargetState *find(const TargetId &) const;
 
     [[nodiscard]] Candidates candidates(const CandidateQuery &, absl::Time now) const;
-    // Whether any target of the service takes new work.
     [[nodiscard]] bool anyAcceptsNewWork(const ServiceName &) const;
 
 private:
-    // Whole targets that make up the reserve: the first ones of the service by a hash, alike at every router.
-    // Load reports lag, so slots that each router leaves free are taken by the others before a report says
-    // so; a target that nobody gives patient work to stays free. Empty where the share is less than one
-    // target, and the reserve is then a share of each target's slots.
+    // The targets that are reserved as a whole for urgent work: the first ones of the service in hash order,
+    // so that all routers agree on them. Load reports are delayed, so slots that each router leaves free on a
+    // shared target would be taken by other routers before a report shows it. A target without patient work
+    // stays free. Empty if the reserved share amounts to less than one target; then a share of each target's
+    // slots is reserved instead.
     [[nodiscard]] std::set<TargetId> reservedTargets(const CandidateQuery &) const;
-    // The targets of the service that the attempt may be given to, in the order of their ids.
+    // The targets of the service that the attempt may use, ordered by id.
     [[nodiscard]] std::vector<TargetId> eligibleTargets(const CandidateQuery &,
                                                         const std::set<TargetId> &reserved) const;
     [[nodiscard]] static std::uint32_t loadLimit(const TargetState &, const CandidateQuery &,
                                                  bool hasReservedTargets);
 
     std::map<TargetId, TargetState> m_targets;
-    // Invariant: names each target under its present service.
+    // Invariant: contains each target under its current service.
     std::map<ServiceName, std::set<TargetId>> m_byService;
-    // Invariant: the same targets as in m_byService, in the order of a hash of their ids.
+    // Invariant: contains the same targets as m_byService, ordered by a hash of their ids.
     std::map<ServiceName, std::set<std::pair<std::uint64_t, TargetId>>> m_byHash;
 };
 
--- a/Libraries/LibRouting/TokenLatencyEstimator.cpp
+++ b/Libraries/LibRouting/TokenLatencyEstimator.cpp
@@ -1,4 +1,4 @@
-// Decaying statistics of token gaps, with outliers clipped.
+// Decaying statistics of token latencies with outlier clipping.
 
 #include <LibRouting/TokenLatencyEstimator.h>
 
@@ -9,15 +9,16 @@
 
 namespace detail {
 
-// Weight of a sample in the mean once there are enough of them.
+// Weight of a sample once enough samples have been seen.
 constexpr double minGain = 1.0 / 64;
-// Share of the peak that each later sample takes away.
+// Fraction by which each sample decays the peak.
 constexpr double peakDecay = 1.0 / 8192;
 constexpr double deviationsInTail = 4;
-// A gap beyond this many tails is a pause, not the engine's rhythm. It is clipped, so that a single pause
-// does not blind the detector; an engine that has truly slowed down still gets there in a few samples.
+// Samples beyond this multiple of the tail are treated as pauses and clipped, so that a single pause does not
+// desensitise stall detection. The estimate still follows an engine that really slowed down within a few
+// samples.
 constexpr double outlierThresholdInTails = 4;
-// Tokens of prefill that take about as long as the fixed part of a first token.
+// Number of prefill tokens that take about as long as the fixed part of the time to first token.
 constexpr double prefillTokensPerFixedCost = 1024;
 
 DecayingTailEstimator::DecayingTailEstimator(absl::Duration prior)
@@ -43,7 +44,7 @@
 
 double DecayingTailEstimator::gain() const
 {
-    // The prior counts as four samples.
+    // The prior has the weight of four samples.
     constexpr double priorSamples = 4;
     return std::max(minGain, 1.0 / (priorSamples + m_samples));
 }
--- a/Libraries/LibRouting/TokenLatencyEstimator.h
+++ b/Libraries/LibRouting/TokenLatencyEstimator.h
@@ -1,5 +1,5 @@
-// Learns from an engine's recent token gaps how long a silence is still normal for it. First tokens are kept
-// apart, since they carry the prefill and the engine's own queue.
+// Estimates from recent token latencies how long an engine may normally stay silent. Time to first token is
+// tracked separately, because it includes the prefill and the queueing at the engine.
 
 #pragma once
 
@@ -11,23 +11,24 @@
 
 namespace detail {
 
-// Decaying mean, deviation and peak of a series of durations.
+// Tracks the decaying mean, deviation and peak of a series of durations.
 class DecayingTailEstimator
 {
 public:
     explicit DecayingTailEstimator(absl::Duration prior);
 
     void add(absl::Duration sample);
-    // A duration that only a rare sample exceeds.
+    // A duration that samples rarely exceed.
     [[nodiscard]] absl::Duration tail() const;
 
 private:
-    // Weight of one sample; grows while there are few samples, so that the prior fades fast.
+    // Weight of one sample. It is larger while there are few samples, so that the prior loses influence
+    // quickly.
     [[nodiscard]] double gain() const;
 
     double m_meanSeconds;
     double m_deviationSeconds;
-    // Invariant: at least every recent sample, less its decay since. Covers engines whose gaps come in
+    // Invariant: at least every recent sample, less its decay since. Covers engines that emit tokens in
     // bursts.
     double m_peakSeconds{0};
     std::uint32_t m_samples{0};
@@ -39,7 +40,7 @@
 {
 public:
     void addInterTokenLatency(absl::Duration latency) { m_interTokenLatency.add(latency); }
-    // `prefillTokens` counts the prompt and the prefix that the attempt opened with.
+    // `prefillTokens` counts the prompt tokens and the prefix that the attempt was opened with.
     void addTimeToFirstToken(absl::Duration latency, std::uint64_t prefillTokens);
 
     [[nodiscard]] absl::Duration interTokenLatencyTail() const { return m_interTokenLatency.tail(); }
@@ -47,7 +48,7 @@
 
 private:
     detail::DecayingTailEstimator m_interTokenLatency{absl::Milliseconds(100)};
-    // Normalised by prefillScale(), so that short prompts tell something about long ones.
+    // Normalised by prefillScale(), so that samples from short prompts apply to long ones.
     detail::DecayingTailEstimator m_timeToFirstToken{absl::Milliseconds(500)};
 };
 
--- a/Libraries/LibRouting/WaitEstimator.cpp
+++ b/Libraries/LibRouting/WaitEstimator.cpp
@@ -1,4 +1,4 @@
-// Exponentially fading rates of ends.
+// Exponentially decaying completion rates.
 
 #include <LibRouting/WaitEstimator.h>
 
@@ -9,9 +9,9 @@
 
 namespace detail {
 
-// Time in which an end fades to 1/e.
+// Time constant: the weight of a completion decays to 1/e after this time.
 constexpr absl::Duration decayTime = absl::Seconds(30);
-// Below this many ends a rate is a guess.
+// Below this decayed count, the rate is not reliable enough for an estimate.
 constexpr double minCompletions = 4;
 
 } // namespace detail
@@ -33,7 +33,7 @@
     const double decayedCount = decayedCountAt(it->second, now);
     if (decayedCount < detail::minCompletions)
         return std::nullopt;
-    // The ends that could fade so far: all of the fade time only after a while.
+    // Fraction of the decay window observed so far. It approaches one over time.
     const double observedShare = 1 - std::exp(-absl::FDivDuration(now - it->second.first, detail::decayTime));
     const absl::Duration interval = detail::decayTime * std::max(observedShare, 0.01) / decayedCount;
     return interval * static_cast<double>(position + 1);
--- a/Libraries/LibRouting/WaitEstimator.h
+++ b/Libraries/LibRouting/WaitEstimator.h
@@ -1,4 +1,5 @@
-// Estimates how long a request will wait for a slot, from the rate at which a service's generations end here.
+// Estimates how long a request will wait for a slot, based on the rate at which generations of its service
+// end at this router.
 
 #pragma once
 
@@ -15,8 +16,8 @@
 {
 public:
     void noteGenerationEnded(const ServiceName &, absl::Time now);
-    // The wait of the request at the position (zero is the front); empty while too few generations have
-    // ended.
+    // Estimated wait of the request at the given queue position (zero is the front). Empty until enough
+    // generations have ended.
     [[nodiscard]] std::optional<absl::Duration> estimateWait(const ServiceName &, std::size_t position,
                                                              absl::Time now) const;
 
@@ -25,7 +26,7 @@
     {
         absl::Time first;
         absl::Time last;
-        // Ends so far, each faded by its age.
+        // Number of completions, each decayed exponentially by its age.
         double decayedCount{0};
     };
 
--- a/Libraries/LibRouting/WorkspaceShares.cpp
+++ b/Libraries/LibRouting/WorkspaceShares.cpp
@@ -1,4 +1,4 @@
-// Shares of the workspaces' limits that follow demand.
+// Demand-based shares of workspace limits.
 
 #include <LibRouting/WorkspaceShares.h>
 
--- a/Libraries/LibRouting/WorkspaceShares.h
+++ b/Libraries/LibRouting/WorkspaceShares.h
@@ -1,14 +1,14 @@
-// The workspaces' limits over all routers. Each router counts its own generations and hears from gossip what
-// runs elsewhere. Between two reports it admits only its share of the room that the last report left, in
-// proportion to its part of the demand.
+// Enforces workspace limits across all routers. Each router counts its own generations and learns the remote
+// count from gossip. Between two reports, it admits only its share of the remaining capacity, in proportion
+// to its share of the demand.
 //
-// Overshoot bound. Let R routers serve the workspace, M be its limit, and H = M - total the room at the last
-// reports. A router with h of the total t generations admits up to ceil(H * (h + 1) / (t + 1)) before its
-// next report, and the sum of these shares is at most H * (t + R) / (t + 1) + R. So each round of reports
-// overshoots by at most H * (R - 1) / (t + 1) + R: about R once t is much above R, and (R - 1) * M where the
-// workspace was idle everywhere and all R routers get a burst within one gossip lag. A router whose last
-// report says that the limit is reached admits nothing, so overshoot does not grow beyond reports that are
-// under way.
+// Overshoot bound: let R routers serve the workspace, let M be its limit and H = M - total the headroom at
+// the last reports. A router with h of the t generations admits up to ceil(H * (h + 1) / (t + 1)) before its
+// next report. The sum over all routers is at most H * (t + R) / (t + 1) + R, so one round of reports
+// overshoots by at most H * (R - 1) / (t + 1) + R, which is about R once t is much larger than R. If the
+// workspace was idle everywhere and all R routers receive a burst within one gossip delay, the overshoot is
+// at most (R - 1) * M. A router whose last report shows that the limit is reached admits nothing, so the
+// overshoot does not grow beyond reports that are in flight.
 
 #pragma once
 
@@ -27,7 +27,7 @@
     void add(const WorkspaceName &);
     void remove(const WorkspaceName &);
 
-    // Generations here, by workspace, without those that have none.
+    // Number of generations at this router by workspace. Omits workspaces without any.
     [[nodiscard]] std::map<WorkspaceName, std::uint32_t> demand() const;
 
 private:
@@ -36,7 +36,7 @@
         std::uint32_t localGenerations{0};
         std::uint32_t remoteGenerations{0};
         std::uint32_t liveRouters{1};
-        // `here` when the last report came.
+        // localGenerations when the last report arrived.
         std::uint32_t localAtLastReport{0};
     };
 
