--- a/Examples/EmbedDecisions.cpp
+++ b/Examples/EmbedDecisions.cpp
@@ -1,6 +1,6 @@
-// Embeds the routing decisions in a program of its own: no sockets, no threads, a clock that the program
-// moves. Two engines serve one service; the one that serves the answer goes silent halfway and the answer
-// still arrives whole.
+// Embeds the routing decisions in a program without sockets or threads that advances its own clock. Two
+// engines serve one service. The engine that streams the answer goes silent halfway, and the router completes
+// the answer on the other one.
 
 #include <LibRouting/Router.h>
 
@@ -14,7 +14,7 @@
 constexpr std::uint32_t answerTokens = 12;
 constexpr absl::Duration tokenGap = absl::Milliseconds(40);
 
-// An engine stream that the example runs itself.
+// A simulated engine stream.
 struct Stream
 {
     TargetId target;
@@ -53,7 +53,7 @@
     }
 
 private:
-    // Each stream gives a token a step, but for the engine that has gone silent.
+    // Produces one token for each stream, except on the silent target.
     void produceTokens()
     {
         auto streams = m_streams;
--- a/Tests/LibRouting/FakeRouterHost.cpp
+++ b/Tests/LibRouting/FakeRouterHost.cpp
@@ -1,4 +1,4 @@
-// The host's clock and shorthand events.
+// The host's clock, and shorthands for common events.
 
 #include "FakeRouterHost.h"
 
--- a/Tests/LibRouting/FakeRouterHost.h
+++ b/Tests/LibRouting/FakeRouterHost.h
@@ -1,5 +1,4 @@
-// A host for focused tests: a router with a small configuration, a virtual clock, and the actions seen so
-// far.
+// Hosts one router in a unit test, with a small configuration and a clock that the test advances.
 
 #pragma once
 
@@ -14,19 +13,21 @@
 class FakeRouterHost
 {
 public:
-    // A fresh router with service "digest", workspace "kochi" and one preset.
+    // Creates a router with service "digest", workspace "kochi" and the given preset, but no targets.
     explicit FakeRouterHost(PresetSpec preset = {});
 
     RoutingActions feed(const RoutingEvent &);
-    // Moves the clock on, with a Tick at each wake-up that the router asks for.
+    // Advances the clock and feeds a Tick at each wake-up that the router requests.
     RoutingActions advance(absl::Duration);
 
+    // Adds or updates a target of service "digest".
     void setTarget(const std::string &id, std::uint32_t slots = 4, TargetPhase phase = TargetPhase::Live);
-    // Feeds the present configuration under the next version.
+    // Feeds `configuration` under the next version.
     RoutingActions applyConfiguration();
     RoutingActions open(const std::string &id, Urgency urgency = Urgency::Patient);
+    // Opens a request that continues an earlier answer at the point.
     RoutingActions reopen(const std::string &id, const ResumePoint &point);
-    // The attempt brings `count` tokens from the offset on.
+    // Feeds `count` tokens of the attempt, starting at offset `from`, one every 20 ms.
     RoutingActions feedTokens(AttemptId, std::uint64_t from, std::uint64_t count = 1);
 
     FleetConfiguration configuration;
@@ -40,7 +41,7 @@
     [[nodiscard]] Router &router() { return *m_router; }
 };
 
-// The actions of one type.
+// Returns the actions of one type, in order.
 template <typename T>
 std::vector<T> actionsOfType(const RoutingActions &actions)
 {
--- a/Tests/LibRouting/FakeRoutingClock.h
+++ b/Tests/LibRouting/FakeRoutingClock.h
@@ -1,4 +1,5 @@
-// A virtual clock that runs callbacks in the order of their times; equal times keep the order of their calls.
+// A virtual clock that runs scheduled callbacks in time order. Callbacks with equal times run in the order in
+// which they were scheduled.
 
 #pragma once
 
@@ -15,13 +16,14 @@
     using Callback = std::function<void()>;
 
     [[nodiscard]] absl::Time now() const { return m_now; }
+    // A time in the past counts as now.
     void at(absl::Time time, Callback callback)
     {
         m_queue.emplace(std::max(time, m_now), std::move(callback));
     }
     void after(absl::Duration delay, Callback callback) { at(m_now + delay, std::move(callback)); }
 
-    // Runs the next callback up to the end; false when there is none.
+    // Runs the next callback and moves the clock to its time. Returns false when none is due by `end`.
     bool runNext(absl::Time end)
     {
         if (m_queue.empty() || m_queue.begin()->first > end)
--- a/Tests/LibRouting/FakeRoutingCluster.cpp
+++ b/Tests/LibRouting/FakeRoutingCluster.cpp
@@ -1,4 +1,4 @@
-// The world's processes and callers, and what must hold at each of their actions.
+// The simulated router processes and callers, and the invariants checked on each router action.
 
 #include "FakeRoutingCluster.h"
 
@@ -30,7 +30,7 @@
         const TargetId id("e" + std::to_string(it));
         auto sink = [this](std::uint64_t process, const RoutingEvent &event) { feed(process, event); };
         m_engines.push_back(std::make_unique<FakeRoutingEngine>(id, m_clock, m_random, sink));
-        // The last engine belongs to another service.
+        // The last engine serves a different service.
         const ServiceName service(it + 1 == engineCount ? "other" : "digest");
         const FailureDomain domain("d" + std::to_string(it % 3));
         m_targets.push_back(TargetChanged{id, service, domain, slotsPerEngine, TargetPhase::Live});
@@ -80,7 +80,7 @@
     caller.request.workspace = WorkspaceName("kochi");
     caller.request.service = ServiceName(below(6) == 0 ? "other" : "digest");
     caller.request.urgency = below(3) == 0 ? Urgency::Urgent : Urgency::Patient;
-    caller.request.prefixHash = PromptPrefixHash(below(4));
+    caller.request.head = PromptPrefixHash(below(4));
     caller.request.promptTokens = static_cast<std::uint32_t>(below(2000));
     caller.request.maxTokens = static_cast<std::uint32_t>(1 + below(60));
     const std::uint64_t naturalLength = below(80);
@@ -185,7 +185,8 @@
     for (const auto &action : process.router->handle(event, m_clock.now()))
         executeAction(process, event, action);
     if (std::holds_alternative<Tick>(event))
-        require(process.router->nextWakeUp() > m_clock.now(), "a Tick leads to another one at once");
+        require(process.router->nextWakeUp() > m_clock.now(),
+                "a Tick scheduled another Tick for the current time");
     scheduleTick(process);
 }
 
@@ -215,7 +216,7 @@
 {
     auto it = process.hostedGenerations.find(id);
     require(it != process.hostedGenerations.end(),
-            std::string(what) + " for a generation that is over: " + id.value());
+            std::string(what) + " for a generation that has ended: " + id.value());
     return it->second;
 }
 
@@ -236,9 +237,9 @@
     for (const auto &[attempt, other] : process.attempts)
         running += other.generation == hostedAttempt.generation ? 1 : 0;
     process.attempts[id] = std::move(hostedAttempt);
-    require(running <= 2, "more than two attempts at once");
+    require(running <= 2, "more than two concurrent attempts for one generation");
     Caller &caller = m_callers[hostedGeneration.caller];
-    require(++caller.attemptsInConnection <= maxAttemptsPerConnection, "too many attempts for a request");
+    require(++caller.attemptsInConnection <= maxAttemptsPerConnection, "too many attempts for one request");
 }
 
 void FakeRoutingCluster::execute(Process &process, const RoutingEvent &cause, const StartAttempt &action)
@@ -248,17 +249,18 @@
     const auto index = static_cast<std::size_t>(std::stoi(action.target.value().substr(1)));
     const TargetPhase phase = process.phases.at(action.target);
     require(phase == TargetPhase::Live || phase == TargetPhase::Suspect,
-            "new work on a leaving or gone target");
-    require(m_targets[index].service == caller.request.service, "target of another service");
+            "attempt started on a leaving or gone target");
+    require(m_targets[index].service == caller.request.service,
+            "attempt started on a target of another service");
     require(action.from.value() == hostedGeneration.tokens.size(),
-            "attempt does not open with the delivered prefix");
+            "the attempt's prefix differs from the delivered tokens");
     const bool isNewRequest = std::holds_alternative<RequestOpened>(cause);
-    require(process.isFresh || !isNewRequest, "a stale router took new work");
-    require(!process.hasReceivedDrain || !isNewRequest, "a draining router took new work");
+    require(process.isFresh || !isNewRequest, "a router with a stale configuration accepted a new request");
+    require(!process.hasReceivedDrain || !isNewRequest, "a draining router accepted a new request");
     const std::string &modelVersion = process.services.at(caller.request.service).modelVersion;
     if (hostedGeneration.tokens.empty())
         hostedGeneration.modelVersion = modelVersion;
-    require(hostedGeneration.modelVersion == modelVersion, "the answer goes on with another model");
+    require(hostedGeneration.modelVersion == modelVersion, "the answer continues on another model version");
     if (&caller == connectedCaller(process, hostedGeneration) && caller.received.empty()) {
         m_callers[hostedGeneration.caller].modelVersion = modelVersion;
         m_callers[hostedGeneration.caller].openedUnder =
@@ -286,7 +288,7 @@
 void FakeRoutingCluster::execute(Process &process, const RoutingEvent &, const CancelAttempt &action)
 {
     auto it = process.attempts.find(action.attempt);
-    require(it != process.attempts.end(), "cancel of an attempt that is over");
+    require(it != process.attempts.end(), "cancelled an attempt that has already ended");
     const auto index = static_cast<std::size_t>(std::stoi(it->second.target.value().substr(1)));
     process.attempts.erase(it);
     const FakeStreamConsumer consumer{process.number, action.attempt};
@@ -296,15 +298,16 @@
 void FakeRoutingCluster::execute(Process &process, const RoutingEvent &, const DeliverToken &action)
 {
     HostedGeneration &hostedGeneration = findHostedGeneration(process, action.generation, "token");
-    require(action.offset.value() == hostedGeneration.tokens.size(), "token missing or repeated");
+    require(action.offset.value() == hostedGeneration.tokens.size(), "token skipped or repeated");
     const std::string previous = hostedGeneration.tokens.empty() ? "" : hostedGeneration.tokens.back();
     require(FakeRoutingEngine::isNextToken(action.generation, previous, action.text),
-            "token of a foreign attempt");
+            "the token does not continue the delivered prefix");
     hostedGeneration.tokens.push_back(action.text);
     Caller *caller = connectedCaller(process, hostedGeneration);
     if (!caller)
         return;
-    require(caller->received.size() + 1 == hostedGeneration.tokens.size(), "the caller's answer has a gap");
+    require(caller->received.size() + 1 == hostedGeneration.tokens.size(),
+            "the caller's answer misses a token");
     caller->received.push_back(action.text);
     caller->resumePoints.push_back(
         ResumePoint{action.target, action.stream, action.streamStart, nextOffset(action.offset)});
@@ -314,8 +317,9 @@
 {
     HostedGeneration &hostedGeneration = findHostedGeneration(process, action.generation, "completion");
     const Caller &expected = m_callers[hostedGeneration.caller];
-    require(action.end.value() == hostedGeneration.tokens.size(), "completion before the last token");
-    require(action.end.value() == expected.length, "the answer is not whole");
+    require(action.end.value() == hostedGeneration.tokens.size(),
+            "completion offset differs from the number of delivered tokens");
+    require(action.end.value() == expected.length, "completed answer has the wrong length");
     require(action.reason == expected.reason, "wrong finish reason");
     if (Caller *caller = connectedCaller(process, hostedGeneration)) {
         caller->state = CallerState::Completed;
@@ -331,17 +335,20 @@
     const bool isImmediate = std::holds_alternative<RequestOpened>(cause);
     const bool isAdmissionError = code == ErrorCode::Draining || code == ErrorCode::ConfigurationStale
         || code == ErrorCode::WorkspaceLimitReached || code == ErrorCode::Overloaded;
-    require(isImmediate || !isAdmissionError, "admission was refused late");
-    require(!isAdmissionError || action.error.retryAfter.has_value(), "refusal without a time to come back");
+    require(isImmediate || !isAdmissionError, "admission error after the request was accepted");
+    require(!isAdmissionError || action.error.retryAfter.has_value(),
+            "admission error without a retry delay");
     const absl::Time deadline = m_callers[hostedGeneration.caller].request.deadline;
     if (code == ErrorCode::DeadlineExceeded)
-        require(m_clock.now() >= deadline, "the deadline has not passed");
+        require(m_clock.now() >= deadline, "DeadlineExceeded before the deadline");
     else
-        require(isImmediate || m_clock.now() < deadline, "held back until the deadline");
+        require(isImmediate || m_clock.now() < deadline,
+                "another error was reported only after the deadline");
     ++m_counts
           .refusals[std::string(errorName(code)) + (hostedGeneration.tokens.empty() ? "" : " after tokens")];
     if (Caller *caller = connectedCaller(process, hostedGeneration)) {
-        // Some callers take the refusal for final, some come back as it says.
+        // A caller retries after the given delay in half of the cases, otherwise it treats the refusal as
+        // final.
         if (action.error.retryAfter && below(2) == 0) {
             scheduleConnect(caller->number, *action.error.retryAfter);
         } else {
@@ -355,10 +362,10 @@
 void FakeRoutingCluster::execute(Process &process, const RoutingEvent &, const HandOverGeneration &action)
 {
     HostedGeneration &hostedGeneration = findHostedGeneration(process, action.generation, "hand-over");
-    require(process.isDraining, "hand-over without a drain");
+    require(process.isDraining, "hand-over by a router that is not draining");
     if (Caller *caller = connectedCaller(process, hostedGeneration))
         scheduleConnect(caller->number, randomDuration(20));
-    // The engine streams run on; the host just closes its connections.
+    // The host closes its connections without cancelling the engine streams, so they keep running.
     std::erase_if(process.attempts, [&](const auto &it) {
         const auto &point = m_callers[hostedGeneration.caller].resumePoints;
         return it.second.generation == action.generation && !point.empty()
@@ -377,15 +384,18 @@
     for (const auto &it : m_callers) {
         const bool isFinished = it.state == CallerState::Completed || it.state == CallerState::Refused
             || it.state == CallerState::Abandoned;
-        require(isFinished, "a caller got neither its end nor a final error: " + it.generation.value());
+        require(isFinished,
+                "a caller received neither a complete answer nor a final error: " + it.generation.value());
     }
     for (const auto &it : m_processes) {
         if (it.isKilled)
             continue;
-        require(it.router->demand().empty(), "demand is left at the end");
-        require(it.attempts.empty(), "an attempt was neither ended nor cancelled");
-        require(it.router->nextWakeUp() == absl::InfiniteFuture(), "a wake-up is left at the end");
-        require(!it.isDraining || it.router->isIdle(), "a drain has not ended");
+        require(it.router->demand().empty(), "a router reports demand after all requests ended");
+        require(it.attempts.empty(), "an attempt neither ended nor was cancelled");
+        require(it.router->nextWakeUp() == absl::InfiniteFuture(),
+                "a router requests a wake-up after all requests ended");
+        require(!it.isDraining || it.router->isIdle(),
+                "a draining router is not idle after all requests ended");
     }
 }
 
--- a/Tests/LibRouting/FakeRoutingCluster.h
+++ b/Tests/LibRouting/FakeRoutingCluster.h
@@ -1,5 +1,6 @@
-// Callers, routers and engines on one virtual clock, with random faults from one seed. What must always hold
-// is checked from outside: from what callers receive and engines are asked, never from a router's own belief.
+// Simulates callers, routers and engines on one virtual clock, with random faults drawn from one seed.
+// Invariants are checked against what callers receive and engines are asked to do, not against the routers'
+// internal state.
 
 #pragma once
 
@@ -12,7 +13,7 @@
 
 namespace Wisteria {
 
-// A broken promise, with what was seen.
+// Thrown when a routing invariant does not hold; what() describes the violation.
 class RoutingInvariantViolation : public std::runtime_error
 {
 public:
@@ -23,7 +24,7 @@
 {
 public:
     explicit FakeRoutingCluster(std::uint64_t seed);
-    // Faults first, then a time without any in which each caller must get its end. Throws
+    // Runs a phase with faults, then one without, by whose end each caller must have a final result. Throws
     // RoutingInvariantViolation.
     void run();
 
@@ -35,7 +36,7 @@
         std::uint64_t attempts{0};
         std::uint64_t faults{0};
         std::uint64_t events{0};
-        // Refusals by their error's name, those that callers came back from included.
+        // Refusals by error name, including those that callers retried.
         std::map<std::string, std::uint64_t> refusals;
     };
     [[nodiscard]] const Counts &counts() const { return m_counts; }
@@ -53,20 +54,20 @@
         std::uint64_t length{0};
         FinishReason reason{FinishReason::Stop};
         std::vector<std::string> received;
-        // For each token, what its event id names.
+        // For each received token, the resume point in its event id.
         std::vector<ResumePoint> resumePoints;
         std::uint32_t connectionCount{0};
-        // The service's version stamp when the present answer was begun.
+        // The configuration version that last changed the service when the current answer started.
         ConfigVersion openedUnder;
         std::string modelVersion;
         std::uint32_t attemptsInConnection{0};
     };
 
-    // One generation as the host of a router holds it.
+    // A router host's state for one generation.
     struct HostedGeneration
     {
         std::size_t caller{0};
-        // Which of the caller's connections.
+        // The value of the caller's connectionCount when it opened this request.
         std::uint32_t connectionNumber{0};
         std::vector<std::string> tokens;
         std::string modelVersion;
@@ -92,7 +93,7 @@
         absl::Time pausedUntil{absl::InfinitePast()};
         std::map<TargetId, TargetPhase> phases;
         std::map<GenerationId, HostedGeneration> hostedGenerations;
-        // Started and neither ended by the engine nor cancelled.
+        // Attempts that were neither ended by the engine nor cancelled.
         std::map<AttemptId, HostedAttempt> attempts;
         absl::Time nextTickAt{absl::InfinitePast()};
     };
@@ -106,6 +107,7 @@
 
     void feed(std::uint64_t process, const RoutingEvent &);
     void scheduleTick(Process &);
+    // The `cause` is the event that led to the action.
     void executeAction(Process &, const RoutingEvent &cause, const RoutingAction &);
     void execute(Process &, const RoutingEvent &, const StartAttempt &);
     void execute(Process &, const RoutingEvent &, const ReattachAttempt &);
@@ -115,8 +117,9 @@
     void execute(Process &, const RoutingEvent &, const RefuseGeneration &);
     void execute(Process &, const RoutingEvent &, const HandOverGeneration &);
     void execute(Process &, const RoutingEvent &, const RecordDecision &) { }
+    // `what` names the action in the error message when the generation is not open.
     [[nodiscard]] HostedGeneration &findHostedGeneration(Process &, const GenerationId &, const char *what);
-    // The caller, if it still listens to this router.
+    // The caller, or null if it has disconnected from this router.
     [[nodiscard]] Caller *connectedCaller(const Process &, const HostedGeneration &);
     void removeGeneration(Process &, const GenerationId &);
     void addAttempt(Process &, HostedGeneration &, AttemptId, HostedAttempt);
@@ -129,6 +132,7 @@
     void randomizeConfiguration();
     void crashDomain();
     void setPhase(std::size_t engine, TargetPhase);
+    // Feeds the event to all routers. A paused router handles it later, in order.
     void broadcast(const RoutingEvent &);
     void reportLoad();
 
--- a/Tests/LibRouting/FakeRoutingClusterFaults.cpp
+++ b/Tests/LibRouting/FakeRoutingClusterFaults.cpp
@@ -1,4 +1,4 @@
-// The faults of the fake world.
+// Random faults, configuration changes and load reports of the simulated cluster.
 
 #include "FakeRoutingCluster.h"
 
@@ -70,7 +70,7 @@
     for (auto &it : m_callers) {
         if (it.state != CallerState::Connected || it.router != number)
             continue;
-        // The last events may not have reached the caller.
+        // The caller may not have received the last events before the process stopped.
         const std::size_t lost = std::min<std::size_t>(below(3), it.received.size());
         it.received.resize(it.received.size() - lost);
         it.resumePoints.resize(it.received.size());
@@ -101,7 +101,7 @@
     const GenerationId generation = caller.generation;
     scheduleConnect(caller.number, randomDuration(500));
     m_clock.after(randomDuration(200), [this, number, generation] {
-        // A host tells of a left caller only while that opening is the present one.
+        // A host reports CallerLeft only if the caller has not reconnected to the same router.
         auto it = m_processes[number].hostedGenerations.find(generation);
         if (it != m_processes[number].hostedGenerations.end()
             && !connectedCaller(m_processes[number], it->second))
@@ -122,7 +122,7 @@
 void FakeRoutingCluster::randomizeConfiguration()
 {
     constexpr std::array policies = {"adaptive", "adaptive", "restart", "fixed-stall"};
-    constexpr std::array selections = {"affinity", "least-loaded", "round-robin", "unheard-of"};
+    constexpr std::array selections = {"affinity", "least-loaded", "round-robin", "unregistered"};
     PresetSpec preset{.name = PresetName("p"), .selection = selections[below(selections.size())]};
     preset.resume = ResumeSpec{policies[below(policies.size())], static_cast<double>(below(3)) / 2};
     preset.drainLimit = randomDuration(4000);
@@ -160,7 +160,6 @@
     broadcast(m_targets[engine]);
 }
 
-// Each router hears of a change at a time of its own, in the order of the changes.
 void FakeRoutingCluster::broadcast(const RoutingEvent &event)
 {
     for (std::uint64_t it = 0; it < m_processes.size(); ++it)
--- a/Tests/LibRouting/FakeRoutingEngine.cpp
+++ b/Tests/LibRouting/FakeRoutingEngine.cpp
@@ -1,4 +1,4 @@
-// Streams of the fake engine and its failures.
+// Token streams, event delivery and failures of the simulated engine.
 
 #include "FakeRoutingEngine.h"
 
@@ -60,7 +60,7 @@
     if (stream.consumer)
         stream.previousConsumers.insert(*stream.consumer);
     stream.consumer = consumer;
-    // Some engines send the stream's first tokens again.
+    // Some engines resend the stream from its first token after a re-attach.
     std::uint64_t from = m_random.below(4) == 0 ? stream.startOffset : action.from.value();
     for (; from < stream.tokens.size(); ++from)
         send(consumer, TokenArrived{consumer.second, TokenOffset(from), stream.tokens[from]});
@@ -123,13 +123,13 @@
 
 void FakeRoutingEngine::send(FakeStreamConsumer consumer, const RoutingEvent &event)
 {
-    // A broken engine leaves out a token now and then.
+    // Drops 1 in 500 tokens, as a faulty engine would.
     if (std::holds_alternative<TokenArrived>(event) && m_random.below(500) == 0)
         return;
     absl::Time &deliveryTime = m_lastDeliveryTimes[consumer];
     deliveryTime = std::max({deliveryTime, m_pausedUntil, m_clock.now() + randomDelay(1, 10)});
     m_clock.at(deliveryTime, [this, consumer, event] { m_sink(consumer.first, event); });
-    // A few events come twice, the second time much later.
+    // Duplicates 1 in 50 events; the second copy is up to 3 seconds late.
     if (m_random.below(50) == 0)
         m_clock.at(deliveryTime + randomDelay(1, 3000),
                    [this, consumer, event] { m_sink(consumer.first, event); });
--- a/Tests/LibRouting/FakeRoutingEngine.h
+++ b/Tests/LibRouting/FakeRoutingEngine.h
@@ -1,5 +1,6 @@
-// An engine that dies, pauses, cuts streams and refuses. Its tokens form a chain: each carries a hash of the
-// token before it and of its own stream's salt, so that a token that continues another prefix is found out.
+// A simulated engine that can crash, pause, close its streams and report overload. Each token holds a hash of
+// the previous token and of the stream's salt, so that a test detects a token that does not continue the
+// delivered prefix.
 
 #pragma once
 
@@ -12,9 +13,10 @@
 
 namespace Wisteria {
 
-// One router's hold on a stream: its process number and its attempt.
+// The router process (by number) and the attempt that receive a stream.
 using FakeStreamConsumer = std::pair<std::uint64_t, AttemptId>;
 
+// ClosesStreams: consumers see their streams fail. Silent: events stop without an error.
 enum class FakeCrashMode { ClosesStreams, Silent };
 
 class FakeRoutingEngine
@@ -27,27 +29,30 @@
     {
     }
 
-    // The token that follows `previous` in a stream with the salt.
+    // The token that follows `previous` in a stream with this salt.
     [[nodiscard]] static std::string token(const GenerationId &, const std::string &previous,
                                            std::uint64_t salt);
-    // Whether the text is such a token, whatever its stream.
+    // Whether the text is a token that follows `previous`, in a stream with any salt.
     [[nodiscard]] static bool isNextToken(const GenerationId &, const std::string &previous,
                                           const std::string &text);
 
-    // `prefix` is the answer up to the start; the whole answer has `length` tokens.
+    // `prefix` holds the tokens that precede this stream; the complete answer has `length` tokens.
     void start(FakeStreamConsumer, const StartAttempt &, std::vector<std::string> prefix,
                std::uint64_t length, FinishReason);
     void reattach(FakeStreamConsumer, const ReattachAttempt &);
-    // An order to cancel names the stream, so that one of an earlier holder hits its present one too.
+    // Cancels the stream itself, so a cancel from a previous consumer also ends it for the current one.
     void cancel(FakeStreamConsumer);
 
     void crash(FakeCrashMode);
     void restart();
     void pause(absl::Duration);
+    // Fails all streams for their consumers. Generation continues, and consumers can re-attach.
     void disconnectStreams();
+    // Rejects new attempts with EngineOverloaded for this time.
     void reportOverloadFor(absl::Duration duration) { m_overloadedUntil = m_clock.now() + duration; }
 
     [[nodiscard]] const TargetId &id() const { return m_id; }
+    // Streams that are neither cancelled nor complete.
     [[nodiscard]] std::uint32_t runningStreams() const;
 
 private:
@@ -58,7 +63,7 @@
         std::uint64_t startOffset{0};
         std::uint64_t length{0};
         FinishReason reason{FinishReason::Stop};
-        // The prefix and what was made so far.
+        // The prefix and the tokens generated so far.
         std::vector<std::string> tokens;
         std::optional<FakeStreamConsumer> consumer;
         std::set<FakeStreamConsumer> previousConsumers;
@@ -74,7 +79,7 @@
     RandomSource &m_random;
     Sink m_sink;
     std::map<std::string, Stream> m_streams;
-    // A connection keeps the order of its bytes.
+    // Events of one connection are delivered in order.
     std::map<FakeStreamConsumer, absl::Time> m_lastDeliveryTimes;
     std::uint64_t m_incarnation{1};
     std::uint64_t m_lastStreamNumber{0};
--- a/Tests/LibRouting/TestAdmission.cpp
+++ b/Tests/LibRouting/TestAdmission.cpp
@@ -1,4 +1,4 @@
-// What comes in, what waits and what is refused at once.
+// Tests which requests the router starts, queues or refuses.
 
 #include "FakeRouterHost.h"
 
@@ -73,7 +73,7 @@
             patient.insert(actionsOfType<StartAttempt>(host.open(id)).at(0).target);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), patient.size());
         CPPUNIT_ASSERT(!startsAttempt(host.open("p5")));
-        // Another router's load report makes no difference: no patient work is ever there.
+        // Reserved targets hold no patient requests, so this does not depend on other routers' load reports.
         for (const char *id : {"u1", "u2", "u3", "u4"})
             CPPUNIT_ASSERT(
                 !patient.contains(actionsOfType<StartAttempt>(host.open(id, Urgency::Urgent)).at(0).target));
@@ -84,11 +84,11 @@
         FakeRouterHost host({.urgentReserve = 0.5});
         host.setTarget("t1", 2);
         host.setTarget("t2", 2);
-        const auto open = actionsOfType<StartAttempt>(host.open("p1")).at(0).target;
-        host.setTarget(open.value(), 2, TargetPhase::Leaving);
+        const auto unreserved = actionsOfType<StartAttempt>(host.open("p1")).at(0).target;
+        host.setTarget(unreserved.value(), 2, TargetPhase::Leaving);
         const auto next = actionsOfType<StartAttempt>(host.open("p2"));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), next.size());
-        CPPUNIT_ASSERT(next[0].target != open);
+        CPPUNIT_ASSERT(next[0].target != unreserved);
     }
 
     void startsUrgentRequestsBeforePatientOnes()
@@ -126,13 +126,13 @@
                                 .service = ServiceName("digest")};
             host.feed(heavy);
         }
-        int served = 0;
+        int heavyStarts = 0;
         for (int it = 0; it < 12; ++it) {
             running = actionsOfType<StartAttempt>(host.feed(AttemptFinished{running.attempt, TokenOffset(0)}))
                           .at(0);
-            served += running.generation.value().starts_with("heavy") ? 1 : 0;
+            heavyStarts += running.generation.value().starts_with("heavy") ? 1 : 0;
         }
-        CPPUNIT_ASSERT(served >= 8 && served <= 10);
+        CPPUNIT_ASSERT(heavyStarts >= 8 && heavyStarts <= 10);
     }
 
     void enforcesWorkspaceLimitAcrossRouters()
@@ -178,7 +178,7 @@
     {
         FakeRouterHost host({.urgentReserve = 0});
         host.setTarget("t1", 1);
-        // One generation ends every two seconds, and six more wait.
+        // One generation ends every two seconds while six more are queued.
         auto running = actionsOfType<StartAttempt>(host.open("g0")).at(0);
         for (int it = 1; it <= 6; ++it)
             host.open("g" + std::to_string(it));
@@ -206,9 +206,9 @@
         host.setTarget("t2", 1);
         CPPUNIT_ASSERT(actionsOfType<StartAttempt>(host.open("g1")).at(0).target == TargetId("t2"));
         CPPUNIT_ASSERT(!startsAttempt(host.open("g2")));
-        auto moved = actionsOfType<StartAttempt>(
+        auto started = actionsOfType<StartAttempt>(
             host.feed(TargetChanged{TargetId("t2"), ServiceName("digest"), {}, 1, TargetPhase::Leaving}));
-        CPPUNIT_ASSERT(moved.at(0).target == TargetId("t1"));
+        CPPUNIT_ASSERT(started.at(0).target == TargetId("t1"));
     }
 
     void ignoresOlderConfigurationVersion()
@@ -228,8 +228,8 @@
         host.setTarget("t1", 1);
         host.open("g1");
         host.open("g2");
-        auto handed = actionsOfType<HandOverGeneration>(host.feed(DrainStarted{}));
-        CPPUNIT_ASSERT(handed.size() == 1 && handed[0].generation == GenerationId("g2"));
+        auto handedOver = actionsOfType<HandOverGeneration>(host.feed(DrainStarted{}));
+        CPPUNIT_ASSERT(handedOver.size() == 1 && handedOver[0].generation == GenerationId("g2"));
         CPPUNIT_ASSERT(!host.router().isIdle());
     }
 
--- a/Tests/LibRouting/TestEstimates.cpp
+++ b/Tests/LibRouting/TestEstimates.cpp
@@ -1,4 +1,5 @@
-// The estimates and bounds behind the decisions: gaps, load, budget, shares, selection.
+// Tests the estimators and limits that routing decisions use: token gaps, target load, cooldown, retry
+// budget, workspace shares and affinity selection.
 
 #include <LibRouting/AffinitySelector.h>
 #include <LibRouting/RetryBudget.h>
@@ -63,12 +64,13 @@
         TargetState target(TargetChanged{.target = TargetId("t"), .slots = 8});
         target.noteAttemptStarted(t0);
         target.noteAttemptStarted(t0 + absl::Seconds(2));
-        // Measured between the two: it holds the first, five of other routers, and one that waits.
+        // The report was measured between the two starts. It counts the first attempt, five attempts of other
+        // routers and one waiting request; the second attempt is added to it.
         target.apply(LoadReported{TargetId("t"), 6, 1, absl::Seconds(2)}, t0 + absl::Seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(8), target.load(t0 + absl::Seconds(3)));
         target.noteAttemptEnded(t0 + absl::Seconds(4));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(7), target.load(t0 + absl::Seconds(4)));
-        // A report that was overtaken changes nothing.
+        // A report older than the last one is ignored.
         target.apply(LoadReported{TargetId("t"), 0, 0, absl::Seconds(9)}, t0 + absl::Seconds(5));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(7), target.load(t0 + absl::Seconds(5)));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(1), target.load(t0 + absl::Seconds(60)));
@@ -112,7 +114,8 @@
 
     void workspaceSharesBoundOvershoot()
     {
-        // Ten routers with equal demand all admit as much as they may between two reports.
+        // Ten routers with equal demand each admit their full share between two reports. The bound in
+        // WorkspaceShares.h allows 20 * 9 / 81 + 10 generations above the limit, which is at most 13.
         constexpr std::uint32_t routers = 10;
         const WorkspaceSpec spec{.name = WorkspaceName("w"), .maxGenerations = 100};
         std::vector<WorkspaceShares> all(routers);
@@ -136,11 +139,11 @@
         for (std::uint64_t it = 0; it < 1000; ++it) {
             const PromptPrefixHash head(it * 0x9e3779b97f4a7c15ULL);
             const TargetId before = candidates[selector.select(candidates, head)].id;
-            const std::span<const TargetCandidate> fewer(candidates.data(), candidates.size() - 1);
-            const TargetId after = fewer[selector.select(fewer, head)].id;
+            const std::span<const TargetCandidate> remaining(candidates.data(), candidates.size() - 1);
+            const TargetId after = remaining[selector.select(remaining, head)].id;
             moved += before != after ? 1 : 0;
         }
-        // Only the heads of the target that left move: about 1 in 20.
+        // Only the prompts of the removed target move, about 1 in 20.
         CPPUNIT_ASSERT(moved > 20 && moved < 90);
         const PromptPrefixHash head(7);
         const std::size_t preferred = selector.select(candidates, head);
@@ -154,10 +157,11 @@
         const RoutingState state(random);
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), TargetSelectorRegistry::instance().names().size());
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), ResumePolicyRegistry::instance().names().size());
-        CPPUNIT_ASSERT(!ResumePolicyRegistry::instance().create("unheard-of"));
+        CPPUNIT_ASSERT(!ResumePolicyRegistry::instance().create("unregistered"));
     }
 
 private:
+    // Takes attempts until the budget is exhausted; returns how many it granted.
     static int takeAll(RetryBudget &budget, RetryBudget::Kind kind, absl::Time now)
     {
         constexpr std::uint32_t running = 40;
@@ -167,6 +171,7 @@
         return n;
     }
 
+    // Admits generations until the share is used up; returns how many were admitted.
     static int admitAll(WorkspaceShares &shares, const WorkspaceSpec &spec)
     {
         int n = 0;
--- a/Tests/LibRouting/TestRouter.cpp
+++ b/Tests/LibRouting/TestRouter.cpp
@@ -1,4 +1,5 @@
-// The router's decisions one by one: delivery, resume, race, re-attach, drain and configuration.
+// Tests the router's single decisions: token delivery, resume, hedged attempts, re-attach, drain and
+// configuration changes.
 
 #include "FakeRouterHost.h"
 
@@ -39,9 +40,9 @@
         auto delivered = actionsOfType<DeliverToken>(host.feedTokens(started[0].attempt, 0, 3));
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), delivered.size());
         CPPUNIT_ASSERT_EQUAL(std::string("s"), delivered[2].stream.value());
-        auto done =
+        auto completed =
             actionsOfType<CompleteGeneration>(host.feed(AttemptFinished{started[0].attempt, TokenOffset(3)}));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), done.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), completed.size());
         CPPUNIT_ASSERT(host.router().demand().empty());
     }
 
@@ -222,7 +223,8 @@
     }
 
 private:
-    // Fails the attempt and all that follow it; counts them up to the refusal.
+    // Fails the attempt and each one that replaces it until the request is refused. Returns the number of
+    // failed attempts, or 100 if none led to a refusal.
     static int failUntilRefused(FakeRouterHost &host, AttemptId attempt)
     {
         for (int n = 1; n < 100; ++n) {
@@ -237,7 +239,7 @@
         return 100;
     }
 
-    // From an engine's last token to the second attempt.
+    // Time from the last token of a silent stream to the start of the hedged attempt.
     static absl::Duration hedgeDelay(double thrift)
     {
         FakeRouterHost host({.resume = {.thrift = thrift}});
@@ -248,7 +250,7 @@
         return host.now - lastTokenAt;
     }
 
-    // Two targets and a generation "g" that runs on one of them.
+    // Adds two targets and starts generation "g" on one of them.
     static StartAttempt startGeneration(FakeRouterHost &host)
     {
         host.setTarget("t1");
--- a/Tests/LibRouting/TestRouterUnderFailure.cpp
+++ b/Tests/LibRouting/TestRouterUnderFailure.cpp
@@ -1,5 +1,6 @@
-// Thousands of seeded event orders with engines, routers and callers that fail. WISTERIA_SEED replays one,
-// WISTERIA_ORDERS sets how many are tried.
+// Checks the routing invariants in thousands of random event orders with failing engines, routers and
+// callers. Each order is drawn from a seed. WISTERIA_SEED replays one seed, WISTERIA_ORDERS sets how many are
+// run.
 
 #include "FakeRoutingCluster.h"
 
@@ -27,11 +28,11 @@
         for (std::uint64_t it = first; it < first + count; ++it)
             runSeed(it);
         std::cerr << "orders " << count << ", faults " << m_totals.faults << ", events " << m_totals.events
-                  << ", completed " << m_totals.completed << ", refused " << m_totals.refused << ", left "
-                  << m_totals.abandoned << ", attempts " << m_totals.attempts << '\n';
+                  << ", completed " << m_totals.completed << ", refused " << m_totals.refused
+                  << ", abandoned " << m_totals.abandoned << ", attempts " << m_totals.attempts << '\n';
         for (const auto &[name, n] : m_totals.refusals)
             std::cerr << "  " << name << " " << n << '\n';
-        // A world in which nearly all callers are refused would prove little.
+        // If most requests were refused, the run would hardly exercise delivery and recovery.
         CPPUNIT_ASSERT(seed || m_totals.completed > 3 * m_totals.refused);
     }
 
--- a/Tests/LibRouting/TestSpreadTargetSelection.cpp
+++ b/Tests/LibRouting/TestSpreadTargetSelection.cpp
@@ -1,5 +1,5 @@
-// The choice of targets for resumes: spread over generations, away from full targets and from the lost
-// domain.
+// Tests target selection for resumed generations: it spreads them over the targets and avoids full targets
+// and the lost failure domain.
 
 #include <LibRouting/SpreadTargetSelection.h>
 
