--- a/Libraries/LibLedger/Answers.h
+++ b/Libraries/LibLedger/Answers.h
@@ -1,4 +1,4 @@
-// The answers and log entries that the ledger's parts share, and the limits of what they remember.
+// Helpers that build the answers and log records of at-most-once calls, and the retention limits.
 
 #pragma once
 
@@ -8,23 +8,24 @@
 
 namespace Wisteria {
 
-// How long an outcome is remembered by the incarnation that dispatched the call.
+// How long the incarnation that dispatched a call retains its outcome.
 inline constexpr absl::Duration outcomeRetention = absl::Minutes(10);
-// A longer body is given to the callers that wait for it, but not kept for later ones.
+// A larger body is sent to the callers that are waiting, but not retained for later requests.
 inline constexpr std::size_t maxRetainedBodyBytes = std::size_t(64) * 1024;
-// All kept bodies of claims, and all of tickets, each.
+// Total size of the retained bodies; applies separately to claimed and to ticketed calls.
 inline constexpr std::size_t maxRetainedBytes = std::size_t(16) * 1024 * 1024;
-// Calls remembered under claims, and under tickets, each. At some 300 bytes a call.
+// Number of retained calls; applies separately to claimed and to ticketed calls. A call takes about 300
+// bytes.
 inline constexpr std::size_t maxRetainedCalls = 30000;
 
 namespace detail {
 
-// What the router does with calls that have not been dispatched yet.
+// How the router treats calls that have not been dispatched yet.
 enum class NewCallPolicy {
     Admit,
-    // The configuration may be old: neither new calls nor those that were claimed already are dispatched.
+    // The configuration may be outdated: neither new calls nor calls that are already claimed are dispatched.
     RejectAsStale,
-    // The router is leaving: new calls are refused, claimed ones are dispatched.
+    // The router is draining: new calls are rejected, calls that are already claimed are dispatched.
     RejectAsDraining,
 };
 
@@ -41,16 +42,16 @@
     return ErrorCode::DeadlineExceeded;
 }
 
-// When a caller should come back: after the store, a target or a peer failed.
+// Retry delay for the caller after the store, a target or a peer failed.
 inline constexpr absl::Duration failureRetryAfter = absl::Seconds(1);
-// After a refusal that another router would not give.
+// Retry delay after a rejection that does not apply to other routers.
 inline constexpr absl::Duration otherRouterRetryAfter = absl::Milliseconds(100);
 
 [[nodiscard]] inline CallAnswer makeRanAnswer(int status, std::string body, BodyKept kept)
 {
     CallAnswer answer{CallOutcome::Ran, status, std::move(body), std::nullopt};
     if (kept == BodyKept::No)
-        answer.error = Error{ErrorCode::AnswerLost, "it ran; its body was too large to be kept"};
+        answer.error = Error{ErrorCode::AnswerLost, "the call ran; its body was too large to be kept"};
     return answer;
 }
 
@@ -66,7 +67,7 @@
     out.emplace_back(RecordCallDecision{call, std::string(decision), std::string(reason)});
 }
 
-// Answers the call and logs why.
+// Answers the call and records the reason.
 inline void answerCall(LedgerActions &out, CallId call, const CallAnswer &answer)
 {
     recordDecision(out, call, outcomeName(answer.outcome),
--- a/Libraries/LibLedger/CallLedger.cpp
+++ b/Libraries/LibLedger/CallLedger.cpp
@@ -1,4 +1,4 @@
-// Hands each event to the part that owns the call: claims or tickets.
+// Routes each event to the claimed or the ticketed calls, depending on the key of its call.
 
 #include <LibLedger/CallLedger.h>
 
@@ -88,7 +88,8 @@
         setNewCallPolicy();
     }
 
-    // A stale configuration goes before a drain, since it also holds back calls that were claimed already.
+    // A stale configuration takes precedence over a drain because it also blocks calls that are already
+    // claimed.
     void setNewCallPolicy()
     {
         const bool isFresh = m_freshnessPolicy == NewCallPolicy::Admit;
--- a/Libraries/LibLedger/CallLedger.h
+++ b/Libraries/LibLedger/CallLedger.h
@@ -1,4 +1,5 @@
-// At-most-once calls of one router incarnation: claims in the object API, tickets without it.
+// At-most-once calls of one router incarnation. A call is owned through a claim in the object API or through
+// a ticket, which needs no store access.
 
 #pragma once
 
@@ -9,31 +10,33 @@
 
 namespace Wisteria {
 
-// A single-threaded state machine. It lives as long as the incarnation: it survives a pause, not a restart.
+// A single-threaded state machine without I/O. Its state lives as long as the incarnation: it survives a
+// pause of the process, but not a restart.
 class CallLedger
 {
 public:
-    // The random source must outlive the ledger; it also makes the secret that tells issued tickets from
-    // guessed ones.
+    // The random source must outlive the ledger. It also generates the secret that authenticates issued
+    // tickets.
     [[nodiscard]] static std::unique_ptr<CallLedger> create(const RouterId &self, Incarnation incarnation,
                                                             RandomSource &random);
     virtual ~CallLedger() = default;
 
-    // Takes one event at the given monotonic time, which never goes back.
+    // Processes one event. `now` is monotonic time and must never decrease.
     [[nodiscard]] virtual LedgerActions handle(const LedgerEvent &event, absl::Time now) = 0;
-    // When the next LedgerTick is due; absl::InfiniteFuture() when none is.
+    // Time when the next LedgerTick is due; absl::InfiniteFuture() when none is.
     [[nodiscard]] virtual absl::Time nextWakeUp() const = 0;
 
-    // A key that this incarnation alone may dispatch. Valid for ticketLifetime from now.
+    // Returns a new key under which only this incarnation may dispatch a call. It is valid for ticketLifetime
+    // from `now`.
     [[nodiscard]] virtual IdempotencyKey issueTicket(absl::Time now) = 0;
-    // True when no call is between its claim and its recorded outcome.
+    // True when no call is in progress, which means between its claim and its recorded outcome.
     [[nodiscard]] virtual bool isIdle() const = 0;
 };
 
-// How long a ticket may be used, and its outcome asked for.
+// Time after issue during which a ticket may be used and the outcome of its call can be queried.
 inline constexpr absl::Duration ticketLifetime = absl::Minutes(10);
 
-// The JSON form that the object API keeps.
+// Serializes a claim record to the JSON stored in the object API.
 [[nodiscard]] std::string toJson(const ClaimRecord &);
 // Fails with ErrorCode::ProtocolViolation on a malformed record.
 [[nodiscard]] ErrorOr<ClaimRecord> claimRecordFromJson(std::string_view);
--- a/Libraries/LibLedger/ClaimRecord.cpp
+++ b/Libraries/LibLedger/ClaimRecord.cpp
@@ -1,4 +1,4 @@
-// JSON form of a claim, as the object API keeps it.
+// Conversion of claim records to and from the JSON stored in the object API.
 
 #include <LibLedger/CallLedger.h>
 
@@ -16,13 +16,14 @@
 
 namespace detail {
 
-// An enum's text must be one of its names: a state that is not understood must never pass for Claimed.
+// Rejects unknown enumerator names. The JSON library maps them to the first enumerator, so that an unknown
+// state would be read as Claimed.
 template <typename Enum>
 Enum readEnum(const json &object, const char *field)
 {
     const auto value = object.at(field).get<Enum>();
     if (json(value) != object.at(field))
-        throw json::other_error::create(501, std::string(field) + ": unknown name", nullptr);
+        throw json::other_error::create(501, std::string(field) + ": unknown enumerator name", nullptr);
     return value;
 }
 
@@ -42,7 +43,8 @@
         out["body"] = record.body;
         out["body_kept"] = record.bodyKept;
     }
-    // A target's body may be anything; bytes that are no UTF-8 are replaced rather than thrown on.
+    // A target's body may hold arbitrary bytes. Invalid UTF-8 is replaced, since the default handler would
+    // throw.
     return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/Libraries/LibLedger/ClaimedCalls.cpp
+++ b/Libraries/LibLedger/ClaimedCalls.cpp
@@ -1,4 +1,4 @@
-// Arrivals, outcomes and memory of the calls under claims. ClaimedCallsStore.cpp has the store protocol.
+// Requests, outcomes and retention of claimed calls. The store protocol is in ClaimedCallsStore.cpp.
 
 #include <LibLedger/ClaimedCalls.h>
 
@@ -33,7 +33,7 @@
     }
 }
 
-// Each part is preceded by its length, so that no two triples give one text.
+// The length prefix makes the encoding injective: two different triples never yield the same text.
 void appendLengthPrefixed(std::string &out, const std::string &part)
 {
     absl::StrAppend(&out, part.size(), ":", part);
@@ -82,23 +82,26 @@
         return detail::answerCall(
             out, received.call,
             detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                     "the key came with another body before", std::nullopt));
+                                     "the idempotency key was already used with a different body",
+                                     std::nullopt));
     join(it->second, waiter, now, out);
 }
 
-// Answers a call that must not start here and of which nothing is known here, where that needs no store
-// access.
+// Rejects a request that must not start a call here, if this needs no store access and the call is unknown
+// here. Returns true if the request was answered.
 bool ClaimedCalls::rejectOnArrival(const CallReceived &received, const Waiter &waiter, LedgerActions &out)
 {
-    // A later number is refused by a void, which also keeps the earlier ones from running.
+    // A request with a later number is rejected by writing a void, which also prevents earlier ones from
+    // running.
     if (waiter.purpose == Purpose::Run || received.attempt > 1)
         return false;
     const ErrorCode code = detail::rejectionCode(m_newCallPolicy);
-    // A first request can have run nowhere else. One without a number can, and a void would end its key.
+    // A first request cannot have run elsewhere. A request without a number can, and a void would invalidate
+    // its key.
     const CallOutcome outcome = received.attempt == 1 ? CallOutcome::NotRun : CallOutcome::Unknown;
     detail::answerCall(
         out, waiter.call,
-        detail::makeFailedAnswer(outcome, code, "refused on arrival", detail::otherRouterRetryAfter));
+        detail::makeFailedAnswer(outcome, code, "rejected before dispatch", detail::otherRouterRetryAfter));
     return true;
 }
 
@@ -108,7 +111,7 @@
     if (!ensureCapacity())
         return detail::answerCall(
             out, waiter.call,
-            detail::makeFailedAnswer(rejectedOutcome, ErrorCode::Overloaded, "too many calls are under way"));
+            detail::makeFailedAnswer(rejectedOutcome, ErrorCode::Overloaded, "too many calls in progress"));
     ClaimedCall &call = m_calls[claimName(received)];
     call.name = claimName(received);
     call.service = received.service;
@@ -134,12 +137,12 @@
         setDeadlineWakeUp(call);
 }
 
-// A request meets a call that was given up before.
+// Handles a request for a call that was voided or abandoned before its dispatch.
 void ClaimedCalls::joinUndispatched(ClaimedCall &call, const Waiter &waiter, absl::Time now,
                                     LedgerActions &out)
 {
-    // A void is final for requests without a number; an overtaken number must not undo what a later one
-    // heard.
+    // A void is final for requests without a number. A request with a number up to the voided one must not
+    // run either, because a later request has already been answered with NotRun.
     const bool isCovered = waiter.attempt <= call.highestVoidedAttempt;
     if (isCovered && (call.phase == ClaimPhase::ClaimVoided || waiter.attempt > 0))
         return detail::answerCall(out, waiter.call, CallAnswer{CallOutcome::NotRun, 0, {}, call.reason});
@@ -156,7 +159,7 @@
 {
     if (m_calls.size() < maxRetainedCalls)
         return true;
-    // What is forgotten here is answered from the store's record, or `Unknown`.
+    // After its removal, a call is answered from the store's record, or with `Unknown`.
     for (const auto &[time, name] : m_wakeUps) {
         ClaimedCall &call = m_calls.at(name);
         if (detail::isSettled(call)) {
@@ -196,7 +199,8 @@
         answerAll(*call, call->answer, out);
         return settle(*call, ClaimPhase::Uncertain, now);
     }
-    call->reason = Error{ErrorCode::NoTargetAvailable, "no target took the call", detail::failureRetryAfter};
+    call->reason =
+        Error{ErrorCode::NoTargetAvailable, "no target accepted the call", detail::failureRetryAfter};
     for (auto &it : call->waiters)
         it.purpose = Purpose::VoidOnly;
     proceedFromOwnClaim(*call, now, out);
@@ -207,13 +211,13 @@
     ClaimedCall *call = findPending(event.call);
     if (!call || call->phase != ClaimPhase::Forwarding)
         return;
-    const CallAnswer answer = event.answer.value_or(
-        detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost, "its owner was not reached"));
+    const CallAnswer answer = event.answer.value_or(detail::makeFailedAnswer(
+        CallOutcome::Unknown, ErrorCode::AnswerLost, "the router that owns the call could not be reached"));
     if (answer.outcome != CallOutcome::NotRun) {
         answerAll(*call, answer, out);
         return removeCall(*call);
     }
-    // The owner's `NotRun` speaks for the request that it was asked about and for those numbered before it.
+    // The owner's `NotRun` covers the forwarded request and the requests with smaller numbers.
     auto isCovered = [&](const Waiter &it) {
         return it.call == event.call || (it.attempt > 0 && it.attempt <= call->forwardedAttempt);
     };
@@ -244,7 +248,7 @@
 void ClaimedCalls::expireWaiters(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
     const CallAnswer answer = detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
-                                                       "no outcome before the deadline");
+                                                       "the deadline passed before the outcome was known");
     for (const auto &it : call.waiters) {
         if (it.deadline <= now)
             detail::answerCall(out, it.call, answer);
@@ -262,7 +266,7 @@
     call.waiters.clear();
 }
 
-// Bounds what a finished call costs in memory.
+// Drops the body of a finished call if it exceeds the retention limits.
 void ClaimedCalls::retainOutcome(ClaimedCall &call)
 {
     const std::size_t size = call.answer.body.size();
@@ -273,14 +277,14 @@
     m_retainedBytes += size;
 }
 
-// Nothing is under way any more; what is known is kept for a while.
+// Ends the processing of a call and retains its state for outcomeRetention.
 void ClaimedCalls::settle(ClaimedCall &call, ClaimPhase phase, absl::Time now)
 {
     call.phase = phase;
     VERIFY(detail::isSettled(call) && call.waiters.empty());
     ++m_settledCount;
     setWakeUp(call, now + outcomeRetention);
-    // A late answer still comes under the id of the dispatch; nothing else does.
+    // Only a late answer of the target can still arrive, under the id of the dispatch.
     std::erase_if(call.callIds, [&](CallId id) {
         if (phase == ClaimPhase::Uncertain && id == call.dispatchedCallId)
             return false;
--- a/Libraries/LibLedger/ClaimedCalls.h
+++ b/Libraries/LibLedger/ClaimedCalls.h
@@ -1,14 +1,14 @@
-// At-most-once calls under the callers' own keys: one incarnation claims a key in the object API, and it
-// alone dispatches the call, once.
+// At-most-once calls under idempotency keys chosen by the callers. One incarnation claims a key in the object
+// API, and only that incarnation dispatches the call, once.
 //
-// `NotRun` is a promise about every request that the caller made under the key so far. It is given in two
-// cases only. Either the claim was voided by a write that took effect: any other router that is about to
-// claim then meets the void. Or the caller numbers its requests and all earlier ones are known not to have
-// run: because this is the first, or by a void that covers them.
+// `NotRun` applies to every request that the caller has sent under the key so far. It is returned in two
+// cases only. Either a void of the claim has been written: any other router that tries to claim the key then
+// reads the void. Or the caller numbers its requests and all earlier ones are known not to have run, because
+// this is the first one or because a void covers the earlier ones.
 //
-// A void covers the requests up to its number; a later request of the caller may take the claim over.
-// Requests without a number cannot be told apart, an old one may be read late by a router that was paused:
-// for them a void is final, and their caller goes on under a new key.
+// A void covers the requests up to its number; a later request of the caller may take over the claim.
+// Requests without a number cannot be told apart, and a router that was paused may process an old one late. A
+// void is therefore final for them, and their caller must continue with a new key.
 
 #pragma once
 
@@ -22,34 +22,34 @@
 
 namespace detail {
 
-// Where a claimed call stands at this incarnation.
+// State of a claimed call at this incarnation.
 enum class ClaimPhase {
-    // The write that takes the claim is under way.
+    // The write of the claim is in flight.
     Claiming,
-    // The write that voids the claim is under way.
+    // The write of the void is in flight.
     VoidingClaim,
-    // The claim is being read, after a lost reply or a conflict.
+    // The claim is being read after a lost reply or a conflict.
     Checking,
-    // Another incarnation owns the claim and is asked.
+    // Another incarnation owns the claim; the call has been forwarded to it.
     Forwarding,
-    // Dispatched; the target has not answered.
+    // Dispatched; the target has not answered yet.
     Running,
-    // Dispatched; the outcome was lost. A late answer still counts.
+    // Dispatched, but the answer was lost. A late answer is still accepted.
     Uncertain,
-    // Dispatched and answered.
+    // Dispatched, and the target has answered.
     Done,
-    // Voided: any router may take the claim over for a request of a greater number.
+    // The void has been written. Any router may take over the claim for a request with a greater number.
     ClaimVoided,
-    // The claim is, or may be, in this incarnation's name; nothing was dispatched under it.
+    // This incarnation owns or may own the claim, and has dispatched nothing under it.
     HeldUndispatched,
 };
 
 enum class Purpose { Run, VoidOnly };
-// Whether the claim under `claimNonce` is in the store.
+// Whether the store holds the claim with the nonce `claimNonce`.
 enum class Ownership { None, Possible, Confirmed };
 enum class RecordingState { Pending, InFlight, Completed };
 
-// One request of a caller that waits for the call's outcome.
+// A request that waits for the outcome of a call.
 struct Waiter
 {
     CallId call;
@@ -65,23 +65,23 @@
     BodyDigest digest;
     ClaimPhase phase{ClaimPhase::Claiming};
     std::vector<Waiter> waiters;
-    // The call ids under which results may still be reported for this claim.
+    // Ids under which results may still be reported for this call.
     std::vector<CallId> callIds;
-    // The id of the store access or forward that is under way; others' results are ignored.
+    // Id of the store access or forward in flight; results with another id are ignored.
     CallId pendingCallId;
     CallId dispatchedCallId;
-    // The newest version of the object that is known to be of the state in `phase`; zero for no object.
+    // Latest version at which the object is known to match `phase`; zero when there is no object.
     ObjectVersion version;
-    // Of the claim that this incarnation takes; zero for none. Invariant: before Running, nothing was
-    // dispatched under it.
+    // Nonce of this incarnation's claim; zero for none. Invariant: nothing was dispatched under it before the
+    // phase Running.
     std::uint64_t claimNonce{0};
     Ownership ownership{Ownership::None};
     ClaimRecord submittedRecord;
-    // The version over which a void of this incarnation may still land; zero for none.
+    // Version that a void of this incarnation with a lost reply may still replace; zero for none.
     ObjectVersion delayedVoidVersion;
-    // Requests up to this one were told, or may be told, that they did not run.
+    // Requests up to this number were answered, or may be answered, with NotRun.
     std::uint32_t highestVoidedAttempt{0};
-    // The greatest number among the requests that the owner was asked about.
+    // Greatest number among the requests that the forward to the owner covers.
     std::uint32_t forwardedAttempt{0};
     // Why a voided call did not run.
     Error reason;
@@ -115,14 +115,14 @@
 private:
     using Calls = std::map<ClaimName, detail::ClaimedCall>;
 
-    // Arrivals.
+    // Incoming requests.
     void create(const CallReceived &, detail::Waiter, absl::Time now, LedgerActions &out);
     void join(detail::ClaimedCall &, detail::Waiter, absl::Time now, LedgerActions &out);
     [[nodiscard]] bool rejectOnArrival(const CallReceived &, const detail::Waiter &, LedgerActions &out);
     void joinUndispatched(detail::ClaimedCall &, const detail::Waiter &, absl::Time now, LedgerActions &out);
     [[nodiscard]] bool ensureCapacity();
 
-    // The store protocol.
+    // Store protocol.
     void proceedWithoutClaim(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
     void proceedFromVoid(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
     void proceedFromOwnClaim(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
@@ -148,7 +148,7 @@
     void expireWaiters(detail::ClaimedCall &, absl::Time now, LedgerActions &out);
 
     [[nodiscard]] detail::ClaimedCall *find(CallId);
-    // The call, when the result belongs to what is under way for it.
+    // Returns the call whose operation in flight has this id; null when there is none.
     [[nodiscard]] detail::ClaimedCall *findPending(CallId);
     void addWaiter(detail::ClaimedCall &, const detail::Waiter &);
     void setWakeUp(detail::ClaimedCall &, absl::Time);
@@ -161,17 +161,18 @@
     RandomSource &m_random;
     detail::NewCallPolicy m_newCallPolicy{detail::NewCallPolicy::Admit};
     Calls m_calls;
-    // Invariant: holds exactly the `ids` of the calls in m_calls.
+    // Invariant: holds exactly the `callIds` of the calls in m_calls.
     std::map<CallId, ClaimName> m_claimsByCall;
-    // Invariant: holds the finite `wakeAt` of the calls in m_calls.
+    // Invariant: holds the finite `wakeAt` times of the calls in m_calls.
     std::set<std::pair<absl::Time, ClaimName>> m_wakeUps;
-    // Bytes of the bodies kept in Done calls.
+    // Total size of the bodies retained in Done calls, in bytes.
     std::size_t m_retainedBytes{0};
-    // Calls between their claim and their recorded outcome are the others.
+    // Number of calls in m_calls with no operation in progress. The remaining ones are between their claim
+    // and their recorded outcome.
     std::size_t m_settledCount{0};
 };
 
-// The name of a claim's object.
+// Name of the object that stores the claim.
 [[nodiscard]] ClaimName claimName(const CallReceived &);
 
 } // namespace Wisteria
--- a/Libraries/LibLedger/ClaimedCallsStore.cpp
+++ b/Libraries/LibLedger/ClaimedCallsStore.cpp
@@ -1,4 +1,5 @@
-// The store protocol of the calls under claims: conditional writes, lost replies, read-backs, hand-over.
+// Store protocol of claimed calls: conditional writes, reads after lost replies, and takeover of voided
+// claims.
 
 #include <LibLedger/ClaimedCalls.h>
 
@@ -18,26 +19,27 @@
 
 namespace detail {
 
-// Writes and reads for one request before it is given up.
+// Writes for one request before the store protocol is abandoned.
 constexpr int maxTries = 6;
-// Between writes of an outcome that the store did not take.
+// Exponential backoff between attempts to write the outcome.
 constexpr absl::Duration firstBackoff = absl::Milliseconds(200);
 constexpr absl::Duration maxBackoff = absl::Seconds(20);
 
 const Error &storeUnavailable()
 {
-    static const Error error{ErrorCode::StoreUnavailable, "the store was not reached", failureRetryAfter};
+    static const Error error{ErrorCode::StoreUnavailable, "the store could not be reached",
+                             failureRetryAfter};
     return error;
 }
 
 const Error &storeOutcomeUnknown()
 {
-    static const Error error{ErrorCode::StoreOutcomeUnknown, "the claim's state is not known",
+    static const Error error{ErrorCode::StoreOutcomeUnknown, "the state of the claim in the store is unknown",
                              failureRetryAfter};
     return error;
 }
 
-// Whether a waiter still wants the call to run, at this time.
+// Whether the waiter still needs the call to run.
 bool wantsRun(const Waiter &waiter, absl::Time now)
 {
     return waiter.purpose == Purpose::Run && waiter.deadline > now;
@@ -78,11 +80,12 @@
 
 void ClaimedCalls::proceedFromOwnClaim(ClaimedCall &call, absl::Time now, LedgerActions &out)
 {
-    // After a pause nobody may be waiting any more, or the configuration may be old.
+    // After a pause of the process, every waiter's deadline may have passed or the configuration may be
+    // outdated.
     if (!detail::wantsRun(call, now) || m_newCallPolicy == NewCallPolicy::RejectAsStale)
         return writeVoid(call, call.version, now, out);
-    // A void whose reply was lost could land after the dispatch, and let another router take the call over.
-    // Moving the claim to a new version keeps it out.
+    // A void whose reply was lost could still be applied after the dispatch and let another router take over
+    // the call. Writing the claim again changes its version, so that the conditional write of the void fails.
     if (call.delayedVoidVersion == call.version)
         return writeClaim(call, call.version, now, out);
     dispatch(call, out);
@@ -90,7 +93,7 @@
 
 void ClaimedCalls::writeClaim(ClaimedCall &call, ObjectVersion expected, absl::Time now, LedgerActions &out)
 {
-    // A claim that may have been written keeps its nonce, so that it is known again whenever it appears.
+    // A claim that may have been written keeps its nonce, so that a later read recognizes it.
     if (call.claimNonce == 0)
         call.claimNonce = newNonce();
     call.submittedRecord =
@@ -104,7 +107,7 @@
 void ClaimedCalls::writeVoid(ClaimedCall &call, ObjectVersion expected, absl::Time now, LedgerActions &out)
 {
     if (call.reason.detail.empty())
-        call.reason = Error{detail::rejectionCode(m_newCallPolicy), "given up before its dispatch",
+        call.reason = Error{detail::rejectionCode(m_newCallPolicy), "abandoned before dispatch",
                             detail::otherRouterRetryAfter};
     call.submittedRecord = ClaimRecord{m_self, m_incarnation, newNonce(), call.digest, ClaimState::Voided};
     call.submittedRecord.attempt = detail::highestAttempt(call);
@@ -154,7 +157,7 @@
             call->ownership = Ownership::Possible;
         return read(*call, out);
     case ClaimWriteResult::Conflict:
-        // The reply does not say whose record is there; the record does.
+        // A conflict does not say which record the store holds, so the record is read.
         return read(*call, out);
     }
 }
@@ -173,7 +176,8 @@
     if (record.digest != call->digest) {
         answerAll(*call,
                   detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                           "the key came with another body before", std::nullopt),
+                                           "the idempotency key was already used with a different body",
+                                           std::nullopt),
                   out);
         return removeCall(*call);
     }
@@ -188,7 +192,8 @@
         call->highestVoidedAttempt = std::max(call->highestVoidedAttempt, record.attempt);
         if (record == call->submittedRecord)
             return handleVoidApplied(*call, now, out);
-        call->reason = Error{ErrorCode::NoTargetAvailable, "given up before; use a new key", std::nullopt};
+        call->reason =
+            Error{ErrorCode::NoTargetAvailable, "the call was voided earlier; use a new key", std::nullopt};
         answerVoided(*call, out);
         if (call->waiters.empty())
             return settle(*call, ClaimPhase::ClaimVoided, now);
@@ -196,8 +201,9 @@
     }
 }
 
-// The record names an owner. It is this entry's claim only if it carries its nonce: anything older of this
-// router may have been dispatched before a restart, or before it was forgotten.
+// Handles a claim found in the store. It belongs to the current attempt only if it has the same nonce: an
+// older claim of this router may have been dispatched before a restart, or before the call was removed from
+// memory.
 void ClaimedCalls::handleExistingClaim(ClaimedCall &call, const ClaimRecord &record, ObjectVersion version,
                                        absl::Time now, LedgerActions &out)
 {
@@ -210,7 +216,7 @@
     }
     answerAll(call,
               detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
-                                       "its owner lost the outcome in a restart"),
+                                       "the router that owned the call lost its outcome"),
               out);
     removeCall(call);
 }
@@ -224,7 +230,7 @@
     std::vector<Waiter> laterWaiters;
     laterWaiters.swap(call.waiters);
     settle(call, ClaimPhase::ClaimVoided, now);
-    // Greater numbers came while the void was being written.
+    // Requests with greater numbers may have arrived while the void was being written.
     for (const auto &it : laterWaiters)
         join(call, it, now, out);
 }
@@ -240,7 +246,7 @@
     std::erase_if(call.waiters, isCovered);
 }
 
-// The store does not help for now. What may be in the store decides what is remembered.
+// Ends the store protocol after a failure. The retained state depends on what the store may hold.
 void ClaimedCalls::handleStoreFailure(ClaimedCall &call, const Error &error, absl::Time now,
                                       LedgerActions &out)
 {
@@ -258,8 +264,8 @@
     removeCall(call);
 }
 
-// Nothing was dispatched here. Whether nothing was dispatched anywhere is known only where the caller's
-// numbers leave no request that could have been.
+// Answers all waiters after nothing was dispatched here. `NotRun` is proven only for requests whose earlier
+// requests are all known not to have run; the others get `Unknown`.
 void ClaimedCalls::answerNotDispatched(ClaimedCall &call, const Error &error, LedgerActions &out)
 {
     std::sort(call.waiters.begin(), call.waiters.end(),
@@ -313,7 +319,8 @@
     if (call.recordingState != RecordingState::InFlight)
         return;
     call.pendingCallId = CallId();
-    // Nobody else writes over this claim: a conflict means that an earlier write of the outcome took effect.
+    // No other router overwrites a dispatched claim: a conflict means that an earlier write of the outcome
+    // was applied.
     if (event.result == ClaimWriteResult::Applied || event.result == ClaimWriteResult::Conflict) {
         call.recordingState = RecordingState::Completed;
         return settle(call, ClaimPhase::Done, now);
--- a/Libraries/LibLedger/Events.h
+++ b/Libraries/LibLedger/Events.h
@@ -1,6 +1,6 @@
-// Events and actions of the at-most-once calls, with units. Only the router incarnation that owns a call may
-// dispatch it, and it does so once. A call's key is either a ticket, whose issuer owns it, or the caller's
-// own key, which one incarnation claims by a conditional create in the object API.
+// Events and actions of the at-most-once calls. Only the router incarnation that owns a call may dispatch it,
+// and it does so once. A call's key is either a ticket, which is owned by its issuer, or a key chosen by the
+// caller, which one incarnation claims by a conditional create in the object API.
 
 #pragma once
 
@@ -18,18 +18,18 @@
 
 namespace Wisteria {
 
-// Name of a claim's object: a hash over workspace, service and key.
+// Name of the object that stores a claim: a hash over workspace, service and key.
 using ClaimName = StrongId<struct ClaimNameTag, std::string>;
-// Hash over the operation and its arguments: the same key with another body is refused.
+// Hash over the operation and its arguments. A request that reuses a key with another body is rejected.
 using BodyDigest = StrongId<struct BodyDigestTag, std::uint64_t>;
 
-// The three truthful outcomes.
+// What is known about the execution of a call.
 enum class CallOutcome {
-    // It ran; the target's answer is attached.
+    // The call ran; the target's answer is attached.
     Ran,
-    // No byte of it can have reached a target, and none will under this claim or ticket.
+    // No byte of the call can have reached a target, and none will under this claim or ticket.
     NotRun,
-    // It may have run. Ask again with the same key.
+    // The call may have run. The caller can retry with the same key.
     Unknown,
 };
 
@@ -49,29 +49,29 @@
 struct CallAnswer
 {
     CallOutcome outcome{CallOutcome::Unknown};
-    // The target's status and body, for Ran.
+    // HTTP status and body of the target's answer, for Ran.
     int status{0};
     std::string body{};
-    // Why, for NotRun and Unknown; its retryAfter says when to come back. With Ran it is AnswerLost: the call
-    // ran, but its body was too large to be kept for a later asker.
+    // Reason for NotRun and Unknown; its retryAfter is the delay before a retry. For Ran it is AnswerLost
+    // when the body was too large to be retained for later requests.
     std::optional<Error> error{};
 };
 
 enum class ClaimState { Claimed, Voided, Done };
 
-// Whether a recorded outcome still has the target's body; one that is too large is recorded without it.
+// Whether a recorded outcome includes the target's body. Bodies above the size limit are not recorded.
 enum class BodyKept { Yes, No };
 
-// The object that the object API keeps for a claim.
+// Content of the object that stores a claim.
 struct ClaimRecord
 {
     RouterId owner;
     Incarnation incarnation;
-    // Tells one claim attempt from another when a reply was lost.
+    // Distinguishes claim attempts after a lost reply.
     std::uint64_t nonce{0};
     BodyDigest digest;
     ClaimState state{ClaimState::Claimed};
-    // For Voided: the caller's requests up to this one never run; see CallReceived::attempt.
+    // For Voided: the caller's requests up to this number never run; see CallReceived::attempt.
     std::uint32_t attempt{0};
     // For Done.
     int status{0};
@@ -81,10 +81,9 @@
     bool operator==(const ClaimRecord &) const = default;
 };
 
-// ---- Events
-// -----------------------------------------------------------------------------------------------------
+// Events.
 
-// Who handed the call to this router.
+// Sender of the call to this router.
 enum class CallSource { Caller, Router };
 
 struct CallReceived
@@ -94,22 +93,22 @@
     ServiceName service;
     IdempotencyKey key;
     BodyDigest digest;
-    // When the caller stops waiting.
+    // Time when the caller stops waiting.
     absl::Time deadline{absl::InfiniteFuture()};
-    // The caller's own count of its requests under this key, from 1; zero when it does not say. Without it a
-    // router cannot tell the first request from a retry of one that ran elsewhere, and after NotRun the key
-    // is used up. Not needed with tickets.
+    // Number of the caller's request under this key, from 1; zero when the caller does not number its
+    // requests. Without it a router cannot distinguish the first request from a retry of one that ran
+    // elsewhere, and the key cannot be used again after NotRun. Not needed with tickets.
     std::uint32_t attempt{0};
-    // Router for a call that another router forwarded; its caller may have given it up long ago.
+    // Router for a call forwarded by another router; its caller may have timed out since.
     CallSource source{CallSource::Caller};
 };
 
-// How a conditional write ended.
+// Result of a conditional write.
 enum class ClaimWriteResult {
     Applied,
-    // Another version is there; the write had no effect.
+    // The store holds another version; the write had no effect.
     Conflict,
-    // The store was not reached; the write had no effect.
+    // The store could not be reached; the write had no effect.
     NotApplied,
     // The reply was lost; the write may have taken effect.
     Indeterminate,
@@ -119,16 +118,16 @@
 {
     CallId call;
     ClaimWriteResult result{ClaimWriteResult::Indeterminate};
-    // The object's new version, for Applied.
+    // New version of the object, for Applied.
     ObjectVersion version;
 };
 
 struct ClaimRead
 {
     CallId call;
-    // False when the store gave no answer.
+    // False when the store did not answer.
     bool answered{false};
-    // Empty when the store has no such claim.
+    // Empty when the store holds no such claim.
     std::optional<ClaimRecord> record;
     ObjectVersion version;
 };
@@ -148,15 +147,15 @@
     BytesSent sent{BytesSent::Maybe};
 };
 
-// What the owner said about a call that was forwarded to it; empty when it could not be reached.
+// Answer of the owner to a forwarded call; empty when the owner could not be reached.
 struct OwnerAnswered
 {
     CallId call;
     std::optional<CallAnswer> answer;
 };
 
-// Whether new calls may be dispatched. A router whose configuration may be old must not choose targets by it.
-// A ledger starts as one that may.
+// Reports whether the router's configuration is up to date. With an outdated configuration a router must not
+// choose targets. A new ledger assumes a fresh configuration.
 struct LedgerConfigurationFreshnessChanged
 {
     bool fresh{true};
@@ -174,10 +173,9 @@
     std::variant<CallReceived, ClaimWritten, ClaimRead, TargetAnswered, DispatchFailed, OwnerAnswered,
                  LedgerConfigurationFreshnessChanged, LedgerDrainStarted, LedgerTick>;
 
-// ---- Actions
-// ----------------------------------------------------------------------------------------------------
+// Actions.
 
-// A conditional write of the claim. `expected` zero means: create.
+// Conditional write of a claim. `expected` zero means create.
 struct WriteClaim
 {
     CallId call;
@@ -192,15 +190,15 @@
     ClaimName name;
 };
 
-// The one and only dispatch of the call. The host picks a live target; it must not retry once a byte was
-// sent.
+// Dispatches the call; issued at most once per call. The host chooses a live target and must not retry once
+// any byte may have been sent.
 struct Dispatch
 {
     CallId call;
     ServiceName service;
 };
 
-// Hands the call to the incarnation that owns its key; the host reports OwnerAnswered.
+// Forwards the call to the incarnation that owns its key. The host reports OwnerAnswered.
 struct ForwardToOwner
 {
     CallId call;
@@ -214,7 +212,7 @@
     CallAnswer answer;
 };
 
-// One log line for a decision about a call.
+// Log record of a decision about a call.
 struct RecordCallDecision
 {
     CallId call;
--- a/Libraries/LibLedger/Ticket.cpp
+++ b/Libraries/LibLedger/Ticket.cpp
@@ -1,4 +1,4 @@
-// Text form and keyed check of tickets.
+// Text form and keyed hash of tickets.
 
 #include <LibLedger/Ticket.h>
 
@@ -42,7 +42,7 @@
 
 ErrorOr<Ticket> ticketFromKey(const IdempotencyKey &key)
 {
-    // The router's name may hold dots itself, so the numbers are taken from the right.
+    // The router's name may contain dots, so the numeric fields are parsed from the right.
     const std::vector<absl::string_view> parts = absl::StrSplit(key.value(), '.');
     const std::size_t n = parts.size();
     Ticket ticket;
@@ -55,7 +55,7 @@
     ticket.router = RouterId(absl::StrJoin(parts.begin() + 1, parts.end() - 3, "."));
     ticket.incarnation = Incarnation(incarnation);
     ticket.number = TicketNumber(number);
-    // Only one spelling counts, or one ticket could be used under two keys.
+    // Only the canonical spelling is accepted; otherwise one ticket could be used under two keys.
     if (toKey(ticket) != key)
         return makeError(ErrorCode::InvalidRequest, "malformed ticket");
     return ticket;
--- a/Libraries/LibLedger/Ticket.h
+++ b/Libraries/LibLedger/Ticket.h
@@ -1,4 +1,4 @@
-// Tickets: keys of at-most-once calls that name the one router incarnation which may dispatch them.
+// Tickets: idempotency keys that name the router incarnation that may dispatch the call.
 
 #pragma once
 
@@ -10,9 +10,9 @@
 
 namespace Wisteria {
 
-// Counts the tickets of one incarnation, from 1.
+// Sequence number of a ticket within its incarnation, from 1.
 using TicketNumber = StrongId<struct TicketNumberTag, std::uint64_t>;
-// Known to the issuing incarnation only; tells its tickets from guessed ones.
+// Secret of the issuing incarnation that authenticates its tickets.
 using TicketSecret = StrongId<struct TicketSecretTag, std::uint64_t>;
 
 struct Ticket
@@ -26,12 +26,12 @@
     bool operator==(const Ticket &) const = default;
 };
 
-// True for keys of the form that is reserved for tickets.
+// True for keys with the prefix reserved for tickets.
 [[nodiscard]] bool hasTicketPrefix(const IdempotencyKey &);
 [[nodiscard]] std::uint64_t ticketHash(const Ticket &, TicketSecret);
-// "wt1.ROUTER.INCARNATION.NUMBER.CHECK", the check in hexadecimal.
+// Text form "wt1.ROUTER.INCARNATION.NUMBER.HASH", with the keyed hash in hexadecimal.
 [[nodiscard]] IdempotencyKey toKey(const Ticket &);
-// Fails with ErrorCode::InvalidRequest on a malformed key. The check is read, not verified.
+// Fails with ErrorCode::InvalidRequest on a malformed key. Does not verify the keyed hash.
 [[nodiscard]] ErrorOr<Ticket> ticketFromKey(const IdempotencyKey &);
 
 } // namespace Wisteria
--- a/Libraries/LibLedger/TicketedCalls.cpp
+++ b/Libraries/LibLedger/TicketedCalls.cpp
@@ -1,4 +1,4 @@
-// Calls under tickets.
+// Implementation of the calls under tickets.
 
 #include <LibLedger/TicketedCalls.h>
 
@@ -14,13 +14,12 @@
 
 namespace detail {
 
-// Tickets issued within this time share one mark of their time of issue.
+// Tickets issued within this interval share one checkpoint of their time of issue.
 constexpr absl::Duration issueCheckpointInterval = absl::Seconds(1);
 
 CallAnswer makeInvalidTicketAnswer()
 {
-    return makeFailedAnswer(CallOutcome::NotRun, ErrorCode::InvalidRequest, "not a ticket of this system",
-                            std::nullopt);
+    return makeFailedAnswer(CallOutcome::NotRun, ErrorCode::InvalidRequest, "invalid ticket", std::nullopt);
 }
 
 } // namespace detail
@@ -58,9 +57,10 @@
     if (ticket->router != m_self)
         return forward(*ticket, received, now, out);
     if (ticket->incarnation != m_incarnation)
-        return detail::answerCall(out, received.call,
-                                  detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
-                                                           "its router was restarted"));
+        return detail::answerCall(
+            out, received.call,
+            detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                     "the router that issued the ticket was restarted"));
     receiveOwnTicket(*ticket, received, now, out);
 }
 
@@ -90,22 +90,22 @@
         return detail::answerCall(
             out, received.call,
             detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                     "the ticket came with another body before", std::nullopt));
+                                     "the ticket was already used with a different body", std::nullopt));
     if (call.phase != TicketPhase::Running)
         return detail::answerCall(out, received.call, call.answer);
     call.waiters.push_back(TicketWaiter{received.call, received.deadline});
     setDeadlineWakeUp(call);
 }
 
-// The first request under a ticket decides for good whether it runs.
+// The first request under a ticket decides whether the call runs.
 void TicketedCalls::admitFirstRequest(const Ticket &ticket, const CallReceived &received, absl::Time now,
                                       LedgerActions &out)
 {
-    // A ticket that cannot be remembered must neither run nor be called used up.
+    // A ticket whose state cannot be retained must neither run nor be reported as consumed.
     if (m_calls.size() >= maxRetainedCalls)
         return detail::answerCall(out, received.call,
                                   detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::Overloaded,
-                                                           "too many tickets are remembered"));
+                                                           "too many ticketed calls are retained"));
     TicketedCall &call = m_calls[ticket.number];
     call.number = ticket.number;
     call.workspace = received.workspace;
@@ -119,7 +119,7 @@
         const ErrorCode code = expired ? ErrorCode::DeadlineExceeded : detail::rejectionCode(m_newCallPolicy);
         return finish(call, TicketPhase::Consumed,
                       detail::makeFailedAnswer(CallOutcome::NotRun, code,
-                                               "refused on arrival; take another ticket",
+                                               "rejected before dispatch; retry with a new ticket",
                                                detail::otherRouterRetryAfter),
                       now, out);
     }
@@ -132,12 +132,13 @@
 void TicketedCalls::forward(const Ticket &ticket, const CallReceived &received, absl::Time now,
                             LedgerActions &out)
 {
-    // A call that was forwarded before is at the wrong router by mistake; it must not go round.
+    // A call that was already forwarded once is not forwarded again, which prevents loops.
     if (received.source == CallSource::Router || received.deadline <= now
         || m_forwardedCalls.size() >= maxRetainedCalls)
-        return detail::answerCall(out, received.call,
-                                  detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
-                                                           "its router was not asked"));
+        return detail::answerCall(
+            out, received.call,
+            detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                     "the call was not forwarded to the router that issued the ticket"));
     m_forwardedCalls[received.call] = received.deadline;
     if (received.deadline != absl::InfiniteFuture())
         m_forwardDeadlines.emplace(received.deadline, received.call);
@@ -170,7 +171,7 @@
                       now, out);
     finish(*call, TicketPhase::Consumed,
            detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable,
-                                    "no target took the call; take another ticket"),
+                                    "no target accepted the call; retry with a new ticket"),
            now, out);
 }
 
@@ -183,7 +184,8 @@
     m_forwardedCalls.erase(it);
     detail::answerCall(out, event.call,
                        event.answer.value_or(detail::makeFailedAnswer(
-                           CallOutcome::Unknown, ErrorCode::AnswerLost, "its router was not reached")));
+                           CallOutcome::Unknown, ErrorCode::AnswerLost,
+                           "the router that issued the ticket could not be reached")));
 }
 
 void TicketedCalls::tick(absl::Time now, LedgerActions &out)
@@ -201,7 +203,7 @@
 void TicketedCalls::expireWaiters(TicketedCall &call, absl::Time now, LedgerActions &out)
 {
     const CallAnswer answer = detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
-                                                       "no outcome before the deadline");
+                                                       "the deadline passed before the outcome was known");
     for (const auto &it : call.waiters) {
         if (it.deadline <= now)
             detail::answerCall(out, it.call, answer);
@@ -218,7 +220,7 @@
         m_forwardedCalls.erase(call);
         detail::answerCall(out, call,
                            detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::DeadlineExceeded,
-                                                    "no outcome before the deadline"));
+                                                    "the deadline passed before the outcome was known"));
     }
 }
 
@@ -232,10 +234,10 @@
         --m_runningCount;
     call.phase = phase;
     call.answer = std::move(answer);
-    // An uncertain call keeps its id, under which a late answer may still come.
+    // An uncertain call keeps its dispatch id, under which a late answer may still arrive.
     if (phase != TicketPhase::Uncertain)
         m_ticketsByDispatch.erase(call.dispatchedCallId);
-    // Every ticket that was issued up to now has expired by then, this one included.
+    // By then every ticket issued up to now has expired, including this one.
     setWakeUp(call, now + std::max(ticketLifetime, outcomeRetention) + 2 * detail::issueCheckpointInterval);
 }
 
--- a/Libraries/LibLedger/TicketedCalls.h
+++ b/Libraries/LibLedger/TicketedCalls.h
@@ -1,8 +1,8 @@
-// At-most-once calls under tickets: the issuing incarnation alone dispatches them, so that no store access is
-// on their path.
+// At-most-once calls under tickets. Only the issuing incarnation dispatches them, so they need no store
+// access.
 //
-// A ticket that got `NotRun` is used up: the caller takes another one, which costs nothing. So `NotRun` holds
-// for good, whichever of the caller's requests arrives later.
+// After `NotRun` a ticket is consumed and the caller takes a new one, which needs no store access either.
+// `NotRun` is therefore final, whichever of the caller's requests arrives later.
 
 #pragma once
 
@@ -20,10 +20,10 @@
 
 enum class TicketPhase {
     Running,
-    // Dispatched; the outcome was lost. A late answer still counts.
+    // Dispatched, but the answer was lost. A late answer is still accepted.
     Uncertain,
     Done,
-    // Refused before dispatch; it never runs.
+    // Rejected before its dispatch; the call never runs.
     Consumed,
 };
 
@@ -42,7 +42,7 @@
     TicketPhase phase{TicketPhase::Running};
     CallId dispatchedCallId;
     std::vector<TicketWaiter> waiters;
-    // What later askers hear, except while Running.
+    // Answer to later requests; unset while Running.
     CallAnswer answer;
     absl::Time wakeAt{absl::InfiniteFuture()};
 };
@@ -58,7 +58,7 @@
     [[nodiscard]] bool isIdle() const { return m_runningCount == 0 && m_forwardedCalls.empty(); }
     [[nodiscard]] absl::Time nextWakeUp() const;
 
-    // For keys of the tickets' form.
+    // Processes a request whose key has the ticket prefix.
     void receive(const CallReceived &, absl::Time now, LedgerActions &out);
     void handleTargetAnswer(const TargetAnswered &, absl::Time now, LedgerActions &out);
     void handleDispatchFailure(const DispatchFailed &, absl::Time now, LedgerActions &out);
@@ -69,7 +69,7 @@
 private:
     enum class Validity { Valid, Expired, NeverIssued };
 
-    // The tickets from `first` on were issued at `time` or later.
+    // Tickets with numbers from `first` on were issued at `time` or later.
     struct IssueCheckpoint
     {
         TicketNumber first;
@@ -94,13 +94,13 @@
     TicketSecret m_secret;
     detail::NewCallPolicy m_newCallPolicy{detail::NewCallPolicy::Admit};
     TicketNumber m_lastIssued;
-    // Invariant: rising in both members; covers every ticket that may still be used.
+    // Invariant: increasing in both members; covers every ticket that may still be used.
     std::deque<IssueCheckpoint> m_issueCheckpoints;
     std::map<TicketNumber, detail::TicketedCall> m_calls;
     // Invariant: holds the dispatch ids of the Running and Uncertain calls.
     std::map<CallId, TicketNumber> m_ticketsByDispatch;
     std::set<std::pair<absl::Time, TicketNumber>> m_wakeUps;
-    // Calls under tickets of other incarnations, and when their callers stop waiting.
+    // Calls under tickets of other routers, with their deadlines.
     std::map<CallId, absl::Time> m_forwardedCalls;
     std::set<std::pair<absl::Time, CallId>> m_forwardDeadlines;
     std::size_t m_runningCount{0};
--- a/Tests/LibLedger/FakeCallCluster.cpp
+++ b/Tests/LibLedger/FakeCallCluster.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the fakes, and the checks at each run and each answer.
+// Implementation of the fakes, and the invariant checks at each run and each answer.
 
 #include <LibLedger/FakeCallCluster.h>
 
@@ -68,11 +68,11 @@
 
 void FakeCallCluster::deliver(std::size_t process, std::uint64_t incarnation, const VirtualTime::Step &step)
 {
-    Process &to = m_processes[process];
-    if (to.incarnation != incarnation)
+    Process &receiver = m_processes[process];
+    if (receiver.incarnation != incarnation)
         return;
-    if (m_time.now() < to.pausedUntil)
-        to.inbox.push_back(step);
+    if (m_time.now() < receiver.pausedUntil)
+        receiver.inbox.push_back(step);
     else
         step();
 }
@@ -91,15 +91,15 @@
 
 void FakeCallCluster::scheduleTick(std::size_t process)
 {
-    const Process &of = m_processes[process];
-    const absl::Time due = of.ledger->nextWakeUp();
+    const Process &scheduled = m_processes[process];
+    const absl::Time due = scheduled.ledger->nextWakeUp();
     if (due == absl::InfiniteFuture())
         return;
     m_time.after(std::max(due - m_time.now(), absl::Milliseconds(1)),
-                 [this, process, incarnation = of.incarnation] {
-                     const Process &to = m_processes[process];
-                     const bool isDue = to.ledger->nextWakeUp() <= m_time.now();
-                     if (to.incarnation == incarnation && m_time.now() >= to.pausedUntil && isDue)
+                 [this, process, incarnation = scheduled.incarnation] {
+                     const Process &receiver = m_processes[process];
+                     const bool isDue = receiver.ledger->nextWakeUp() <= m_time.now();
+                     if (receiver.incarnation == incarnation && m_time.now() >= receiver.pausedUntil && isDue)
                          handle(process, LedgerTick{});
                  });
 }
@@ -127,7 +127,7 @@
         m_time.after(detail::storeTimeout, [this, process, incarnation, call = write.call] {
             report(process, incarnation, ClaimWritten{call, ClaimWriteResult::Indeterminate});
         });
-        // The write itself may be lost, too, or land long after the client gave it up.
+        // The write itself may also be lost, or be applied long after the client timed out.
         if (m_random.oneIn(3))
             return;
     }
@@ -172,7 +172,7 @@
     const CallId call = dispatch.call;
     const auto request = m_processes[process].requests.find(call);
     if (request == m_processes[process].requests.end()) {
-        m_violation = "a dispatch of a call that was answered or never made";
+        m_violation = "dispatched a call that was already answered or never received";
         return;
     }
     const auto booking = static_cast<std::size_t>(request->second.digest.value());
@@ -195,7 +195,7 @@
         m_time.after(replyDelay, [this, process, incarnation, call] {
             report(process, incarnation, DispatchFailed{call, BytesSent::Maybe});
         });
-        // Late, after the failure was reported.
+        // A late answer that arrives after the failure was reported.
         if (dispatchResult == DispatchResult::DroppedAfterRun && m_random.oneIn(2))
             m_time.after(replyDelay + absl::Seconds(1), [this, process, incarnation, call, booking] {
                 report(process, incarnation, TargetAnswered{call, 200, std::to_string(booking)});
@@ -231,10 +231,10 @@
 
 void FakeCallCluster::receive(std::size_t process, std::size_t, ReplyDestination reply, CallReceived received)
 {
-    Process &to = m_processes[process];
-    received.call = CallId(++to.lastCall);
-    to.replies[received.call] = std::move(reply);
-    to.requests[received.call] = received;
+    Process &receiver = m_processes[process];
+    received.call = CallId(++receiver.lastCall);
+    receiver.replies[received.call] = std::move(reply);
+    receiver.requests[received.call] = received;
     handle(process, received);
 }
 
@@ -248,7 +248,7 @@
     }
     const ReplyDestination reply = it->second;
     from.replies.erase(it);
-    // The host forgets a call once it is answered, so that a dispatch must name one that still waits.
+    // The host drops a call once it is answered, so that a dispatch must name a call that still waits.
     from.requests.erase(action.call);
     if (reply.peer)
         return reply.peer(action.answer);
@@ -261,9 +261,9 @@
 {
     ++m_counts.runs;
     if (++m_bookings[booking].runs > 1)
-        reportViolation(booking, "it ran twice");
+        reportViolation(booking, "the call ran twice");
     if (m_bookings[booking].wasReportedNotRun)
-        reportViolation(booking, "it ran after not_run, without a new request");
+        reportViolation(booking, "the call ran after not_run without a new request");
 }
 
 void FakeCallCluster::startBooking()
@@ -301,7 +301,7 @@
             receive(router, n, ReplyDestination{n, request}, it);
         });
     });
-    // The caller gives the request up, which may live on.
+    // The caller times out and retries; the earlier request may still be processed.
     m_time.after(timeout, [this, n, request] {
         if (m_bookings[n].request == request)
             this->request(n);
@@ -312,7 +312,7 @@
 {
     Booking &booking = m_bookings[n];
     if (answer.outcome == CallOutcome::Ran && (answer.body != std::to_string(n) || booking.runs != 1))
-        reportViolation(n, "a foreign answer, or one without a run");
+        reportViolation(n, "the answer belongs to another call, or the call did not run exactly once");
     if (booking.request != request)
         return;
     booking.request = 0;
@@ -324,9 +324,9 @@
     case CallOutcome::NotRun:
         ++m_counts.notRun;
         if (booking.runs > 0)
-            reportViolation(n, "not_run was said of a call that ran");
+            reportViolation(n, "not_run was reported for a call that ran");
         booking.wasReportedNotRun = true;
-        // A refused ticket is replaced, as is a key whose requests bear no number.
+        // The caller replaces a consumed ticket, and the key of requests without a number.
         if (booking.kind == KeyKind::Ticket)
             booking.attempt = 0;
         if (booking.kind == KeyKind::Unnumbered)
@@ -372,7 +372,7 @@
         break;
     default:
         deliver(n, process.incarnation, [this, n] { handle(n, LedgerDrainStarted{}); });
-        // A drained router is replaced once it is idle.
+        // A drained router is restarted once it is idle.
         m_time.after(until - m_time.now(), [this, n, incarnation = process.incarnation] {
             if (m_processes[n].incarnation == incarnation && m_processes[n].ledger->isIdle())
                 start(m_processes[n]);
--- a/Tests/LibLedger/FakeCallCluster.h
+++ b/Tests/LibLedger/FakeCallCluster.h
@@ -1,5 +1,5 @@
-// Fakes for the ledgers of several routers on a virtual clock: store, target, peers and retrying callers.
-// What is checked is seen from the outside: runs at the target and answers at the callers.
+// Fake store, target, peers and retrying callers for the ledgers of several routers, on a virtual clock. The
+// checks use only what is visible from outside: runs at the target and answers to the callers.
 
 #pragma once
 
@@ -32,27 +32,28 @@
 public:
     explicit FakeCallCluster(std::uint64_t seed);
 
-    // Runs with faults, then without them; returns what was broken, or nothing.
+    // Runs the simulation with faults, then without; returns the first invariant violation, or an empty
+    // string.
     [[nodiscard]] std::string run();
     [[nodiscard]] const CallCounts &counts() const { return m_counts; }
 
 private:
-    // What must run at most once, whatever keys its caller used for it.
+    // An operation that must run at most once, whatever keys its caller uses for it.
     struct Booking
     {
         KeyKind kind{KeyKind::Numbered};
         IdempotencyKey key;
         std::uint32_t attempt{0};
-        // The caller's open request; answers to earlier ones are not heard.
+        // The caller's current request; answers to earlier ones are ignored.
         std::uint64_t request{0};
         int requests{0};
         int runs{0};
-        // Told NotRun, with no new request since.
+        // The caller received NotRun and has sent no new request since.
         bool wasReportedNotRun{false};
         bool finished{false};
     };
 
-    // Where the answer to a call goes: to a caller's request or to a peer's call.
+    // Destination of the answer to a call: a caller's request, or a peer's forwarded call.
     struct ReplyDestination
     {
         std::size_t booking{0};
@@ -113,7 +114,7 @@
     std::uint64_t m_lastRequest{0};
     std::uint64_t m_lastVersion{0};
     absl::Time m_storeDownUntil{absl::InfinitePast()};
-    // One-way cuts between routers, by (from, to).
+    // End times of one-way network partitions between routers, by (from, to).
     std::map<std::pair<std::size_t, std::size_t>, absl::Time> m_partitions;
     absl::Time m_faultsEnd;
     CallCounts m_counts;
--- a/Tests/LibLedger/TestCallEventOrders.cpp
+++ b/Tests/LibLedger/TestCallEventOrders.cpp
@@ -1,4 +1,5 @@
-// Seeded event orders over several routers' ledgers: at most one run, and truthful answers, under all faults.
+// Randomized event orders over several routers' ledgers: at most one run and correct outcomes under all
+// faults. The failing seed is reported.
 
 #include <LibLedger/FakeCallCluster.h>
 
--- a/Tests/LibLedger/TestCallLedger.cpp
+++ b/Tests/LibLedger/TestCallLedger.cpp
@@ -1,4 +1,4 @@
-// Single steps of the at-most-once calls: claims, lost replies, voids, tickets, drains.
+// Unit tests of the call ledger: claims, lost replies, voids, tickets and drains.
 
 #include <LibLedger/CallLedger.h>
 
@@ -61,7 +61,7 @@
         return received.call;
     }
 
-    // The only action of this kind in the last step.
+    // Returns the action of this type from the last step, and asserts that there is exactly one.
     template <typename Action>
     const Action &singleAction() const
     {
@@ -92,7 +92,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(errorName(code)), std::string(errorName(answer.error.value().code)));
     }
 
-    // Takes a call up to its dispatch; returns the claim's record.
+    // Drives a call up to its dispatch; returns the record of its claim.
     ClaimRecord claimAndDispatch(const CallReceived &received)
     {
         receive(received);
@@ -148,9 +148,9 @@
         assertAnswer(CallOutcome::NotRun, ErrorCode::StoreOutcomeUnknown);
         receive(request(1));
         assertAnswer(CallOutcome::NotRun, ErrorCode::StoreOutcomeUnknown);
-        const CallId again = receive(request(2));
-        handle(ClaimRead{again, true, record, ObjectVersion(1)});
-        CPPUNIT_ASSERT(singleAction<Dispatch>().call == again);
+        const CallId retry = receive(request(2));
+        handle(ClaimRead{retry, true, record, ObjectVersion(1)});
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == retry);
     }
 
     void voidsClaimAfterDeadlineAndAllowsTakeover()
@@ -163,13 +163,14 @@
         const ClaimRecord voided = singleAction<WriteClaim>().record;
         handle(ClaimWritten{call, ClaimWriteResult::Applied, ObjectVersion(2)});
         assertAnswer(CallOutcome::NotRun, ErrorCode::DeadlineExceeded);
-        // A greater number takes over, here and elsewhere. Without a number the void is final.
+        // A request with a greater number takes over the claim at any router. Without a number the void is
+        // final.
         auto other = CallLedger::create(RouterId("b"), Incarnation(1), m_random);
         m_ledger.swap(other);
         for (const std::uint32_t attempt : {0, 2}) {
-            const CallId elsewhere = receive(request(attempt));
-            handle(ClaimWritten{elsewhere, ClaimWriteResult::Conflict});
-            handle(ClaimRead{elsewhere, true, voided, ObjectVersion(2)});
+            const CallId takeover = receive(request(attempt));
+            handle(ClaimWritten{takeover, ClaimWriteResult::Conflict});
+            handle(ClaimRead{takeover, true, voided, ObjectVersion(2)});
             if (attempt == 0)
                 assertAnswer(CallOutcome::NotRun, ErrorCode::NoTargetAvailable);
         }
@@ -193,7 +194,7 @@
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
         receive(request());
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
-        // The answer may still come.
+        // A late answer is still accepted.
         handle(TargetAnswered{CallId(1), 200, "late"});
         receive(request());
         CPPUNIT_ASSERT_EQUAL(std::string("late"), singleAction<AnswerCall>().answer.body);
@@ -245,9 +246,9 @@
         handle(DispatchFailed{CallId(1), BytesSent::Maybe});
         m_now += absl::Minutes(11);
         handle(LedgerTick{});
-        const CallId again = receive(request());
-        handle(ClaimWritten{again, ClaimWriteResult::Conflict});
-        handle(ClaimRead{again, true, record, ObjectVersion(1)});
+        const CallId retry = receive(request());
+        handle(ClaimWritten{retry, ClaimWriteResult::Conflict});
+        handle(ClaimRead{retry, true, record, ObjectVersion(1)});
         assertAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost);
     }
 
@@ -255,12 +256,12 @@
     {
         claimAndDispatch(request(1));
         handle(DispatchFailed{CallId(1), BytesSent::None});
-        const CallId late = receive(request(2));
+        const CallId laterCall = receive(request(2));
         handle(ClaimWritten{CallId(1), ClaimWriteResult::Applied, ObjectVersion(2)});
         CPPUNIT_ASSERT(singleAction<AnswerCall>().call == CallId(1));
         CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Claimed);
-        handle(ClaimWritten{late, ClaimWriteResult::Applied, ObjectVersion(3)});
-        CPPUNIT_ASSERT(singleAction<Dispatch>().call == late);
+        handle(ClaimWritten{laterCall, ClaimWriteResult::Applied, ObjectVersion(3)});
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == laterCall);
     }
 
     void rewritesClaimWhenDelayedVoidMayApply()
@@ -269,13 +270,14 @@
         handle(DispatchFailed{CallId(1), BytesSent::None});
         handle(ClaimWritten{CallId(1), ClaimWriteResult::Indeterminate});
         handle(ClaimRead{CallId(1), false});
-        const CallId again = receive(request());
-        handle(ClaimRead{again, true, record, ObjectVersion(1)});
-        // A dispatch under version 1 could be followed by the void, and by another router's dispatch.
+        const CallId retry = receive(request());
+        handle(ClaimRead{retry, true, record, ObjectVersion(1)});
+        // After a dispatch under version 1, the delayed void could be applied and another router could
+        // dispatch the call again.
         CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Claimed);
         CPPUNIT_ASSERT(singleAction<WriteClaim>().expected == ObjectVersion(1));
-        handle(ClaimWritten{again, ClaimWriteResult::Applied, ObjectVersion(2)});
-        CPPUNIT_ASSERT(singleAction<Dispatch>().call == again);
+        handle(ClaimWritten{retry, ClaimWriteResult::Applied, ObjectVersion(2)});
+        CPPUNIT_ASSERT(singleAction<Dispatch>().call == retry);
     }
 
     void rejectsDifferentBodyUnderSameKey()
@@ -310,12 +312,12 @@
         handle(LedgerDrainStarted{});
         receive(request(1, "first"));
         assertAnswer(CallOutcome::NotRun, ErrorCode::Draining);
-        // A later one may have run elsewhere: only a void of its claim proves that it did not.
+        // A later request may have run elsewhere; only a void of its claim proves that it did not.
         const CallId call = receive(request(2, "second"));
         CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Voided);
         handle(ClaimWritten{call, ClaimWriteResult::Applied, ObjectVersion(1)});
         assertAnswer(CallOutcome::NotRun, ErrorCode::Draining);
-        // A void would end the key of a caller that does not number its requests.
+        // A void would invalidate the key of a caller that does not number its requests.
         receive(request(0, "without a number"));
         assertAnswer(CallOutcome::Unknown, ErrorCode::Draining);
         handle(TargetAnswered{CallId(1), 200, "x"});
@@ -332,7 +334,8 @@
         assertAnswer(CallOutcome::NotRun, ErrorCode::ConfigurationStale);
         receive(request(1, ticket.value()));
         assertAnswer(CallOutcome::NotRun, ErrorCode::ConfigurationStale);
-        // The router went stale, perhaps over a pause, between the claim and the dispatch.
+        // The configuration becomes stale between the claim and the dispatch, for example during a pause of
+        // the process.
         handle(ClaimWritten{claimed.call, ClaimWriteResult::Applied, ObjectVersion(1)});
         CPPUNIT_ASSERT(singleAction<WriteClaim>().record.state == ClaimState::Voided);
         handle(ClaimWritten{claimed.call, ClaimWriteResult::Applied, ObjectVersion(2)});
@@ -362,7 +365,7 @@
         handle(TargetAnswered{call, 200, "x"});
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), actionCount<AnswerCall>());
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), actionCount<WriteClaim>());
-        // Remembered for as long as the ticket could be used, then refused for good.
+        // The outcome is retained while the ticket is valid; after that the answer is Unknown.
         for (int minutes = 0; minutes < 25; ++minutes) {
             receive(request(0, key));
             CPPUNIT_ASSERT_EQUAL(std::size_t(0), actionCount<Dispatch>());
