--- a/Tests/LibRouting/FakeRoutingCluster.cpp
+++ b/Tests/LibRouting/FakeRoutingCluster.cpp
@@ -80,7 +80,7 @@
     caller.request.workspace = WorkspaceName("kochi");
     caller.request.service = ServiceName(below(6) == 0 ? "other" : "digest");
     caller.request.urgency = below(3) == 0 ? Urgency::Urgent : Urgency::Patient;
-    caller.request.head = PromptPrefixHash(below(4));
+    caller.request.prefixHash = PromptPrefixHash(below(4));
     caller.request.promptTokens = static_cast<std::uint32_t>(below(2000));
     caller.request.maxTokens = static_cast<std::uint32_t>(1 + below(60));
     const std::uint64_t naturalLength = below(80);
