--- a/Libraries/LibForwarding/DeadlineAdmission.h
+++ b/Libraries/LibForwarding/DeadlineAdmission.h
@@ -33,9 +33,9 @@
 
     // Time a target needs to prefill the prompt, without queueing.
     [[nodiscard]] static absl::Duration prefillTime(const GenerationSize &);
-    // Returns false if the generation would miss its deadline even when nothing delays it. The caller's
-    // estimate of the output length is often far off, so it only counts if prompts are queued at every
-    // target. With an idle target, trying takes no capacity from other requests.
+    // Returns false if the backlog, the prefill and, with no idle target, the decoding take longer than the
+    // time left. The caller's estimate of the output length is often far off, so it only counts if prompts
+    // are queued at every target. With an idle target, trying takes no capacity from other requests.
     [[nodiscard]] static bool canFinishInTime(const DeadlineAdmissionInput &);
 };
 
--- a/Libraries/LibForwarding/DirectorySynchronizer.cpp
+++ b/Libraries/LibForwarding/DirectorySynchronizer.cpp
@@ -109,18 +109,18 @@
     setTimer();
 }
 
-void DirectorySynchronizer::apply(const ObjectMetadata &stamp, absl::Time now)
+void DirectorySynchronizer::apply(const ObjectMetadata &metadata, absl::Time now)
 {
-    if (stamp.isRemoved) {
-        remove(stamp.name, stamp.revision, now);
+    if (metadata.isRemoved) {
+        remove(metadata.name, metadata.revision, now);
         return;
     }
-    m_deferredRemovals.erase(stamp.name);
-    auto &known = m_objects[stamp.name];
-    if (known.value() != 0 && known >= stamp.revision)
+    m_deferredRemovals.erase(metadata.name);
+    auto &known = m_objects[metadata.name];
+    if (known.value() != 0 && known >= metadata.revision)
         return;
-    known = stamp.revision;
-    m_actions.emplace_back(DirectorySyncActions::Apply{stamp.name, stamp.revision});
+    known = metadata.revision;
+    m_actions.emplace_back(DirectorySyncActions::Apply{metadata.name, metadata.revision});
 }
 
 std::vector<std::string> DirectorySynchronizer::namesMissingFrom(const std::vector<ObjectMetadata> &present,
--- a/Libraries/LibForwarding/DirectorySynchronizer.h
+++ b/Libraries/LibForwarding/DirectorySynchronizer.h
@@ -128,12 +128,12 @@
 
     [[nodiscard]] bool hasView() const { return m_hasView; }
     [[nodiscard]] ObjectVersion revision() const { return m_revision; }
-    // Revision of the view at the last change of an object. It may differ between routers that hold the same
-    // objects, but a router with an older view has a smaller value.
+    // Revision at the last list, non-empty watch result or relay. It may differ between routers that hold the
+    // same objects; a larger value means that the view is at least as new.
     [[nodiscard]] ObjectVersion changeRevision() const { return m_changeRevision; }
     [[nodiscard]] bool isStoreLost() const { return m_storeLostSince.has_value(); }
-    // Returns true if an object missing from the store was really removed: the store is available, and the
-    // grace period after its last outage has passed.
+    // Returns true if the store is reachable and the grace period after its last outage is over, so that
+    // objects missing from it were really removed.
     [[nodiscard]] bool isTrusted(absl::Time now) const
     {
         return m_hasView && !m_storeLostSince && now >= m_acceptRemovalsFrom;
--- a/Libraries/LibForwarding/ForwardedRequest.h
+++ b/Libraries/LibForwarding/ForwardedRequest.h
@@ -40,7 +40,7 @@
 struct NoTarget
 {
 };
-// No target could finish the request before its deadline. Nothing was sent.
+// No target could finish the request before its deadline. This attempt was not sent.
 struct NoTimeLeft
 {
 };
@@ -190,7 +190,7 @@
 // When all open requests are refused at once, each caller retries only once or twice. A caller with a long
 // timeout that retries too early uses up its retries before a target is available again.
 //
-// A caller is asked to wait at least its timeout divided by this.
+// A caller is asked to wait at least its timeout divided by this, before jitter shortens the delay.
 inline constexpr int minRetryAfterDivisor = 12;
 // Callers honor a Retry-After only up to a fraction of their remaining time. The divisor is a little larger
 // than that limit requires, since part of the time has already passed.
--- a/Libraries/LibForwarding/KvCopyManager.h
+++ b/Libraries/LibForwarding/KvCopyManager.h
@@ -1,9 +1,9 @@
 // Maintains a copy of a running generation's KV cache on a second target, so that the stream can be resumed
 // there if its target fails.
 //
-// Failure domains can fail one after the other during one stream. The copy that the target sends on its own
-// is lost together with its holder. From then on, the manager requests copies at other holders and renews
-// them, because a requested copy expires.
+// Failure domains can fail one after the other during one stream. The backup that the target keeps at
+// the holder named in the attempt is lost together with that holder. From then on, the manager requests
+// copies at other holders and renews them, because a requested copy expires.
 //
 // A state machine without I/O.
 
@@ -24,14 +24,14 @@
 struct KvCopy
 {
     TargetId holder;
-    // Handle that the target assigned to the copy. Empty for a copy that the target sends on its own.
+    // Handle that the target assigned to the copy. Empty for the backup that the target keeps at the
+    // holder named in the attempt.
     std::string handle;
 };
 
 namespace KvCopyEvents {
 
-// An attempt was started whose target sends a copy to the holder on its own. Empty if no holder was
-// available.
+// An attempt was started whose target keeps a backup at the given holder. Empty if no holder was available.
 struct AttemptStarted
 {
     std::optional<TargetId> holder;
@@ -40,7 +40,8 @@
 struct FirstEventReceived
 {
 };
-// A target failed, is draining or was replaced. Ignored unless it holds the copy.
+// A target failed, was replaced or was removed from the directory; neither draining nor a lost connection
+// alone raises this event. Ignored unless the target holds the copy.
 struct TargetLost
 {
     TargetId target;
--- a/Libraries/LibForwarding/PeerReport.h
+++ b/Libraries/LibForwarding/PeerReport.h
@@ -1,7 +1,8 @@
 // Status that a router reports to its peers. It serves as a heartbeat and contains the revisions of the
 // platform's objects the router holds, its load on each target, and the targets it found faulty.
 //
-// All values are absolute, so the next report makes up for a lost one.
+// Revisions, loads and request counts are absolute, so the next report makes up for a lost one. `faults` and
+// `gone` contain what was found since the previous report and are not sent again.
 
 #pragma once
 
@@ -25,6 +26,7 @@
 
     // The reporting router. `lastReportAt` is not transmitted.
     RouterRegistry::Member router;
+    // Number of the report. FIXME: Receivers do not check it, so a reordered older report is accepted.
     std::uint64_t sequence{0};
     ObjectVersion configurationRevision;
     ObjectVersion targetsRevision;
--- a/Libraries/LibForwarding/RouterRegistry.h
+++ b/Libraries/LibForwarding/RouterRegistry.h
@@ -47,9 +47,9 @@
     [[nodiscard]] std::size_t aliveCount(absl::Time now) const;
     // Returns true if another live router reports reliable access to the store.
     [[nodiscard]] bool isStoreTrustedByOthers(absl::Time now) const;
-    // Returns true if the router is among the first `perDomain` live routers of its domain, by id, that can
-    // read the store. Only these watch the store; the others receive the changes from them. A router that
-    // receives no reports watches the store itself.
+    // Returns true if fewer than `perDomain` live, serving routers of the domain with a reliable view of the
+    // store have a smaller id. Only these watch the store; the others receive the changes from them. A router
+    // that receives no reports watches the store itself.
     [[nodiscard]] bool shouldWatchStore(const Member &self, std::size_t perDomain, absl::Time now) const;
     // Caller addresses of the other serving routers; those in the given domain come first.
     [[nodiscard]] std::vector<std::string> entryPoints(const FailureDomain &, absl::Time now) const;
--- a/Libraries/LibForwarding/TargetPool.cpp
+++ b/Libraries/LibForwarding/TargetPool.cpp
@@ -16,8 +16,8 @@
 constexpr double runningRequestCostMs = 90;
 // Cost in ms of a plain request that is already running on the target: the mean service time.
 constexpr double plainRequestCostMs = 15;
-// A generation that does not fit into memory waits until another one ends. Below that threshold memory use is
-// balanced, so that copies of many streams do not fill up a few targets.
+// A generation that does not fit into memory waits until another one ends. Below memoryFullThreshold memory
+// use is balanced, so that copies of many streams do not fill up a few targets.
 constexpr double memoryCostMs = 600;
 constexpr double memoryFullCostMs = 3000;
 constexpr double memoryFullSlopeMs = 12000;
--- a/Libraries/LibForwarding/TargetPool.h
+++ b/Libraries/LibForwarding/TargetPool.h
@@ -105,8 +105,8 @@
     static constexpr absl::Duration maxSuspicion = absl::Seconds(2);
     // How long a fault reported by another router counts; as long as the first fault seen locally.
     static constexpr absl::Duration peerSuspicion = absl::Milliseconds(400);
-    // Loads of another router are dropped if it sends no report for this long, which is three of the slowest
-    // report intervals.
+    // Loads of another router are dropped if it sends no report for this long, which is three report
+    // intervals towards a silent router: it is sent every second report, that is one per second.
     static constexpr absl::Duration reportLifetime = absl::Seconds(3);
     // A domain is suspect if at least this many of its targets are. Its other targets are chosen last.
     static constexpr int domainSuspectThreshold = 2;
--- a/Libraries/LibForwarding/TrafficConfiguration.h
+++ b/Libraries/LibForwarding/TrafficConfiguration.h
@@ -95,7 +95,8 @@
 {
     WorkspaceName name;
     std::vector<std::string> apiKeys;
-    // Overrides the route's priority unless negative.
+    // Meant to override the route's priority unless negative.
+    // FIXME: It is decoded but not applied yet; requests get the route's priority.
     int priority{-1};
 };
 
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -63,8 +63,8 @@
     RejectedFull,
     // Another target now uses the address; the request was not executed.
     RejectedReplaced,
-    // The response cannot be attributed to this request: it has no proof of origin or carries another request
-    // ID.
+    // The response cannot be attributed to this request: it is not marked as the target's own, carries
+    // another request ID or has a content encoding.
     Untrusted,
 };
 
@@ -91,12 +91,12 @@
                                                          const std::string &holderAddress) const = 0;
     [[nodiscard]] virtual CopyResponse parseCopyResponse(const HttpResponse &) const = 0;
     [[nodiscard]] virtual ControlRequest makeCopyReleaseRequest(const std::string &handle) const = 0;
-    // `target` is an HTTP request target; empty when it is not an entry point query.
+    // Returns an empty optional if the request is not an entry point query.
     [[nodiscard]] virtual std::optional<EntryPointQuery>
-    readEntryPointQuery(std::string_view target) const = 0;
+    readEntryPointQuery(std::string_view requestTarget) const = 0;
     [[nodiscard]] virtual HttpResponse writeEntryPoints(const std::vector<std::string> &addresses,
                                                         absl::Duration lifetime) const = 0;
-    [[nodiscard]] virtual bool isReadinessCheck(std::string_view target) const = 0;
+    [[nodiscard]] virtual bool isReadinessCheck(std::string_view requestTarget) const = 0;
 };
 
 } // namespace Wisteria
--- a/Libraries/LibGateway/DirectoryView.cpp
+++ b/Libraries/LibGateway/DirectoryView.cpp
@@ -18,17 +18,17 @@
 constexpr absl::Duration maxWatchDuration = absl::Milliseconds(2500);
 constexpr double minWatchFraction = 0.4;
 
-ObjectMetadata stampOf(const DirectoryObject &object)
+ObjectMetadata metadataOf(const DirectoryObject &object)
 {
     return {object.name, object.revision, object.isRemoved};
 }
 
-std::vector<ObjectMetadata> stampsOf(const std::vector<DirectoryObject> &objects)
+std::vector<ObjectMetadata> metadataOfAll(const std::vector<DirectoryObject> &objects)
 {
     std::vector<ObjectMetadata> out;
     out.reserve(objects.size());
     for (const auto &it : objects)
-        out.push_back(stampOf(it));
+        out.push_back(metadataOf(it));
     return out;
 }
 
@@ -38,7 +38,7 @@
                              const DirectoryDecoder &decoder, DirectoryListener &listener, StructuredLog &log,
                              RandomSource &random)
     : m_kind(kind), m_store(store), m_decoder(decoder), m_listener(listener), m_log(log), m_random(random),
-      m_follower(random), m_timer(context)
+      m_synchronizer(random), m_timer(context)
 {
 }
 
@@ -57,7 +57,7 @@
 
 void DirectoryView::start()
 {
-    for (const auto &it : m_follower.begin())
+    for (const auto &it : m_synchronizer.begin())
         perform(it);
 }
 
@@ -65,18 +65,18 @@
 {
     m_isWatching = isWatching;
     if (m_isWatching && std::exchange(m_isWatchDeferred, false))
-        perform(DirectorySyncActions::StartWatch{m_follower.revision()});
+        perform(DirectorySyncActions::StartWatch{m_synchronizer.revision()});
 }
 
 void DirectoryView::handle(const DirectorySyncEvent &event)
 {
-    const bool hadView = m_follower.hasView();
-    for (const auto &it : m_follower.handle(event, monotonicNow()))
+    const bool hadView = m_synchronizer.hasView();
+    for (const auto &it : m_synchronizer.handle(event, monotonicNow()))
         perform(it);
     m_staged.clear();
     // Removals before the first complete view are not in the change log.
-    if (!hadView && m_follower.hasView())
-        m_changeLogStart = m_follower.changeRevision();
+    if (!hadView && m_synchronizer.hasView())
+        m_changeLogStart = m_synchronizer.changeRevision();
 }
 
 void DirectoryView::stage(const std::vector<DirectoryObject> &objects)
@@ -96,7 +96,8 @@
                 return;
             }
             stage(result->objects);
-            handle(DirectorySyncEvents::ListCompleted{detail::stampsOf(result->objects), result->revision});
+            handle(
+                DirectorySyncEvents::ListCompleted{detail::metadataOfAll(result->objects), result->revision});
         });
     } else if (const auto *watch = std::get_if<DirectorySyncActions::StartWatch>(&action)) {
         if (!m_isWatching) {
@@ -113,8 +114,8 @@
                               handle(DirectorySyncEvents::CallFailed{});
                           } else {
                               stage(result->objects);
-                              handle(DirectorySyncEvents::WatchCompleted{detail::stampsOf(result->objects),
-                                                                         result->revision});
+                              handle(DirectorySyncEvents::WatchCompleted{
+                                  detail::metadataOfAll(result->objects), result->revision});
                           }
                       });
     } else if (const auto *it = std::get_if<DirectorySyncActions::Apply>(&action)) {
@@ -132,10 +133,10 @@
         m_log.write("store_regained",
                     {{"kind", kindLabel()},
                      {"outage_ms", absl::ToInt64Milliseconds(it->outage)},
-                     {"revision", m_follower.revision().value()}},
+                     {"revision", m_synchronizer.revision().value()}},
                     monotonicNow());
     } else {
-        m_log.write("store_lost", {{"kind", kindLabel()}, {"revision", m_follower.revision().value()}},
+        m_log.write("store_lost", {{"kind", kindLabel()}, {"revision", m_synchronizer.revision().value()}},
                     monotonicNow());
     }
 }
@@ -187,7 +188,7 @@
 
 void DirectoryView::recordChange(const std::string &name)
 {
-    m_changeLog.push_back({m_follower.changeRevision(), name});
+    m_changeLog.push_back({m_synchronizer.changeRevision(), name});
     if (m_changeLog.size() > changeLogCapacity) {
         m_changeLogStart = m_changeLog.front().revision;
         m_changeLog.pop_front();
@@ -216,7 +217,7 @@
             objects.push_back(
                 {{"name", name}, {"revision", it->second.revision.value()}, {"content", it->second.content}});
     }
-    return {{"revision", m_follower.changeRevision().value()},
+    return {{"revision", m_synchronizer.changeRevision().value()},
             {"complete", isComplete},
             {"objects", std::move(objects)}};
 }
@@ -245,7 +246,7 @@
                            it["content"], false});
     }
     stage(objects);
-    handle(DirectorySyncEvents::RelayReceived{detail::stampsOf(objects), revision,
+    handle(DirectorySyncEvents::RelayReceived{detail::metadataOfAll(objects), revision,
                                               json["complete"].get<bool>()});
     return {};
 }
--- a/Libraries/LibGateway/DirectoryView.h
+++ b/Libraries/LibGateway/DirectoryView.h
@@ -43,11 +43,14 @@
     void start();
     // While false, the store is not watched and changes come from other routers.
     void setWatching(bool);
-    [[nodiscard]] ObjectVersion changeRevision() const { return m_follower.changeRevision(); }
-    [[nodiscard]] bool hasView() const { return m_follower.hasView(); }
-    [[nodiscard]] bool isStoreLost() const { return m_follower.isStoreLost(); }
-    [[nodiscard]] bool isTrusted(absl::Time now) const { return m_follower.isTrusted(now); }
-    void setStoreTrustedByOthers(bool othersTrusted) { m_follower.setStoreTrustedByOthers(othersTrusted); }
+    [[nodiscard]] ObjectVersion changeRevision() const { return m_synchronizer.changeRevision(); }
+    [[nodiscard]] bool hasView() const { return m_synchronizer.hasView(); }
+    [[nodiscard]] bool isStoreLost() const { return m_synchronizer.isStoreLost(); }
+    [[nodiscard]] bool isTrusted(absl::Time now) const { return m_synchronizer.isTrusted(now); }
+    void setStoreTrustedByOthers(bool othersTrusted)
+    {
+        m_synchronizer.setStoreTrustedByOthers(othersTrusted);
+    }
 
     // Returns the changes after the revision for another router, or the complete view if the change log does
     // not reach back that far.
@@ -70,7 +73,7 @@
     DirectoryListener &m_listener;
     StructuredLog &m_log;
     RandomSource &m_random;
-    DirectorySynchronizer m_follower;
+    DirectorySynchronizer m_synchronizer;
     boost::asio::steady_timer m_timer;
     // Applied objects, and objects of the current batch that are not applied yet.
     std::map<std::string, DirectoryObject> m_objects;
--- a/Libraries/LibGateway/ForwardSession.cpp
+++ b/Libraries/LibGateway/ForwardSession.cpp
@@ -14,8 +14,8 @@
 
 namespace detail {
 
-// A stream without an event for this long counts as lost when another request reports its target as silent.
-// Idle engines send an event every 30 to 70 ms.
+// FIXME: Unused. Meant as the time without an event after which a stream counts as lost when another request
+// reports its target as silent; idle engines send an event every 30 to 70 ms.
 constexpr absl::Duration suspectStreamSilence = absl::Milliseconds(150);
 // A single connect timeout may be caused by a lost packet; the target counts as lost after this many in a
 // row.
@@ -38,19 +38,20 @@
     return "unknown";
 }
 
-ForwardingParameters makeForwardingTerms(const RoutedRequest &routed)
+ForwardingParameters makeForwardingParameters(const RoutedRequest &routed)
 {
-    ForwardingParameters terms;
-    terms.kind = routed.route->kind;
-    terms.maxAttempts = routed.route->maxAttempts;
-    terms.routeTimeout = routed.route->timeout;
-    terms.callerTimeout = routed.request.callerTimeout.value_or(routed.route->timeout);
-    terms.latencyObjective = routed.route->latencyObjective;
-    terms.maxEventGap = routed.route->maxEventGap;
-    terms.size = routed.request.size;
-    terms.lastEvent = routed.request.lastEvent;
-    terms.usesCopies = terms.kind == RouteKind::ResumableStream && routed.service->engine.supportsCopies;
-    return terms;
+    ForwardingParameters forwardingParameters;
+    forwardingParameters.kind = routed.route->kind;
+    forwardingParameters.maxAttempts = routed.route->maxAttempts;
+    forwardingParameters.routeTimeout = routed.route->timeout;
+    forwardingParameters.callerTimeout = routed.request.callerTimeout.value_or(routed.route->timeout);
+    forwardingParameters.latencyObjective = routed.route->latencyObjective;
+    forwardingParameters.maxEventGap = routed.route->maxEventGap;
+    forwardingParameters.size = routed.request.size;
+    forwardingParameters.lastEvent = routed.request.lastEvent;
+    forwardingParameters.usesCopies =
+        forwardingParameters.kind == RouteKind::ResumableStream && routed.service->engine.supportsCopies;
+    return forwardingParameters;
 }
 
 } // namespace detail
@@ -64,8 +65,8 @@
 ForwardSession::ForwardSession(GatewayContext &gatewayContext, std::shared_ptr<HttpServerConnection> caller,
                                RoutedRequest routed, RetryGate &gate, absl::Time now)
     : m_gatewayContext(gatewayContext), m_caller(std::move(caller)), m_routed(std::move(routed)),
-      m_forwardedRequest(detail::makeForwardingTerms(m_routed), gate, now), m_timer(gatewayContext.context),
-      m_arrivedAt(now), m_copyTimer(gatewayContext.context)
+      m_forwardedRequest(detail::makeForwardingParameters(m_routed), gate, now),
+      m_timer(gatewayContext.context), m_arrivedAt(now), m_copyTimer(gatewayContext.context)
 {
 }
 
@@ -289,7 +290,8 @@
     else
         log("target_full", {{"target", m_target ? m_target->value() : ""}, {"copy_missing", isCopyMissing}});
     if (isCopyMissing && m_target) {
-        // The target is healthy but no longer has the copy; it may process the prompt from the start.
+        // A rejected resume is taken to mean that the target no longer has the copy. The target is healthy,
+        // so it may process the prompt from the start.
         std::erase(m_triedTargets, *m_target);
     }
     handle(ForwardingEvents::AttemptNotExecuted{
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -30,7 +30,7 @@
 constexpr absl::Duration configurationCallTimeout = absl::Milliseconds(1500);
 // Interval in seconds at which routers that do not watch the store request a full view from another router.
 constexpr std::uint64_t reconcileIntervalSeconds = 10;
-// Retry-After during shutdown; by then callers know another router.
+// Retry-After during shutdown; short because callers can retry at once at another entry point.
 constexpr absl::Duration shutdownRetryAfter = absl::Milliseconds(100);
 // Assumed timeout of a caller that does not send one.
 constexpr absl::Duration defaultCallerTimeout = absl::Seconds(10);
@@ -191,7 +191,7 @@
 
 HttpResponse Gateway::entryPoints(const EntryPointQuery &query) const
 {
-    auto addresses = m_roster.entryPoints(query.domain, monotonicNow());
+    auto addresses = m_routerRegistry.entryPoints(query.domain, monotonicNow());
     if (isReady())
         addresses.insert(addresses.begin(), m_self.callerAddress);
     if (addresses.empty())
@@ -303,7 +303,8 @@
 {
     m_log.write("target_removed", {{"target", id.value()}}, monotonicNow());
     m_targets.remove(id);
-    // A target that is removed without notice keeps serving its running requests for a while.
+    // Retryable requests probe the target rather than being aborted, since a target that is removed without
+    // notice keeps serving its running requests for a while.
     notifySessions(id, TargetFault::Unreachable);
     m_connections.remove(id);
 }
@@ -312,10 +313,10 @@
 {
     if (record.id == m_self.id)
         return;
-    m_roster.upsertRecord({.id = record.id,
-                           .domain = record.domain,
-                           .callerAddress = record.callerAddress,
-                           .peerAddress = record.peerAddress});
+    m_routerRegistry.upsertRecord({.id = record.id,
+                                   .domain = record.domain,
+                                   .callerAddress = record.callerAddress,
+                                   .peerAddress = record.peerAddress});
     m_peerLink->scheduleReport();
 }
 
@@ -343,7 +344,7 @@
     if (report.router.id == m_self.id)
         return;
     const auto now = monotonicNow();
-    if (m_roster.recordReport(report.router, now)) {
+    if (m_routerRegistry.recordReport(report.router, now)) {
         m_log.write("router_found",
                     {{"router", report.router.id.value()},
                      {"incarnation", report.router.incarnation.value()},
@@ -421,8 +422,8 @@
 void Gateway::reconcile(absl::Time now)
 {
     std::vector<RouterRegistry::Member> candidates;
-    for (const auto &it : m_roster.members()) {
-        if (it.isStoreTrusted && m_roster.isAlive(it.id, now))
+    for (const auto &it : m_routerRegistry.members()) {
+        if (it.isStoreTrusted && m_routerRegistry.isAlive(it.id, now))
             candidates.push_back(it);
     }
     if (candidates.empty())
@@ -434,15 +435,16 @@
 {
     const auto now = monotonicNow();
     m_connections.dropOld(now);
-    const auto routers = m_roster.aliveCount(now) + 1;
-    const bool othersTrusted = m_roster.isStoreTrustedByOthers(now);
-    const bool shouldWatchStore = m_roster.shouldWatchStore(m_self, m_settings.watchersPerDomain, now);
+    const auto routers = m_routerRegistry.aliveCount(now) + 1;
+    const bool othersTrusted = m_routerRegistry.isStoreTrustedByOthers(now);
+    const bool shouldWatchStore =
+        m_routerRegistry.shouldWatchStore(m_self, m_settings.watchersPerDomain, now);
     for (auto *it : {&m_configurationView, &m_targetsView}) {
         it->setStoreTrustedByOthers(othersTrusted);
         it->setWatching(shouldWatchStore);
     }
     for (auto &[service, budget] : m_budgets)
-        budget.setRouterCounts(routers, m_roster.members().size() + 1);
+        budget.setRouterCounts(routers, m_routerRegistry.members().size() + 1);
     if (++m_periodicRuns % detail::reconcileIntervalSeconds == 0 && !shouldWatchStore)
         reconcile(now);
     m_metrics.setGauge("routers_alive", static_cast<double>(routers));
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -33,8 +33,8 @@
 class Gateway final : private HttpRequestHandler, private DirectoryListener, private PeerLinkDelegate
 {
 public:
-    // A router that is shutting down keeps accepting requests for at least this long, because callers cache
-    // entry points for their lifetime, and some for three times as long.
+    // A router that is shutting down keeps listening for at least this long, because callers cache entry
+    // points for their lifetime, and some for three times as long. New streams are refused with Retry-After.
     static constexpr absl::Duration stopListeningAfter = absl::Seconds(3);
     // Fraction of the stop grace period after which running streams are aborted; of a grace period of eight
     // seconds, this leaves about half a second for the last writes.
@@ -47,7 +47,8 @@
     // Flushes the log.
     ~Gateway() override;
 
-    // Applies the settings that can change at run time; changes that need a restart are logged and ignored.
+    // Applies the settings that can change at run time; other changes are ignored. The log entry
+    // says whether the identity, a listen address or the store changed, which needs a restart.
     void reload(const GatewaySettings &);
     // Logs that the settings file could not be loaded; the current settings stay in force.
     void reloadFailed(const Error &);
@@ -67,7 +68,10 @@
     void routerChanged(const RouterRecord &) override;
     [[nodiscard]] PeerReport makeReport() override;
     void handleReport(const PeerReport &) override;
-    [[nodiscard]] std::vector<RouterRegistry::Member> peers() const override { return m_roster.members(); }
+    [[nodiscard]] std::vector<RouterRegistry::Member> peers() const override
+    {
+        return m_routerRegistry.members();
+    }
 
     // Handles requests addressed to the gateway itself; false if the request must be forwarded.
     bool tryHandleLocally(const std::shared_ptr<HttpServerConnection> &, const HttpRequest &);
@@ -98,7 +102,7 @@
     TargetPool m_targets;
     TargetConnections m_connections;
     GatewayContext m_gatewayContext;
-    RouterRegistry m_roster;
+    RouterRegistry m_routerRegistry;
     RouterRegistry::Member m_self;
     DirectoryView m_configurationView;
     DirectoryView m_targetsView;
@@ -113,6 +117,7 @@
     std::unique_ptr<PeerLink> m_peerLink;
     boost::asio::steady_timer m_periodicTimer;
     std::uint64_t m_periodicRuns{0};
+    // Also delays retries of publishing the router's own record until the shutdown starts.
     boost::asio::steady_timer m_shutdownTimer;
     absl::Time m_startedAt;
     std::optional<absl::Time> m_shutdownStartedAt;
--- a/Libraries/LibGateway/GatewaySettings.h
+++ b/Libraries/LibGateway/GatewaySettings.h
@@ -13,11 +13,12 @@
 {
     RouterId id;
     FailureDomain domain;
-    // Listen addresses for callers' requests, entry point queries and the platform's readiness checks.
+    // Listen addresses intended for callers' requests, entry point queries and the platform's readiness
+    // checks. Every listener serves every path, including /metrics.
     std::string callerListen;
     std::string entryPointListen;
     std::string readinessListen;
-    // Listen address for metrics; empty to disable it.
+    // Additional listen address, intended for metrics; empty for none.
     std::string metricsListen;
     // Listen address for UDP reports and HTTP requests of other routers, on the same port number.
     std::string peerListen;
--- a/Libraries/LibGateway/PeerLink.h
+++ b/Libraries/LibGateway/PeerLink.h
@@ -30,7 +30,8 @@
     // Reports are sent at least this often, because a lost router must disappear from the entry points within
     // about two seconds, the time for which callers cache them.
     static constexpr absl::Duration maxReportInterval = absl::Milliseconds(500);
-    // After changes, reports are sent at most this often; a tenth of the mean time to process a prompt.
+    // After changes, reports are sent at most this often: a small fraction of the mean prefill time,
+    // which is about a second.
     static constexpr absl::Duration minReportInterval = absl::Milliseconds(60);
     // Silent routers are sent only every n-th report.
     static constexpr std::uint64_t silentPeerReportStride = 2;
--- a/Libraries/LibGateway/RequestTimeline.cpp
+++ b/Libraries/LibGateway/RequestTimeline.cpp
@@ -26,14 +26,17 @@
 {
     static const absl::flat_hash_map<std::string, std::string_view> descriptions = {
         {"complete", "the complete response was delivered"},
-        {"no_target", "every known target of the service rejected it, or there was none; it did not run"},
+        {"no_target",
+         "every known target of the service rejected it or was unreachable, or there was none; it did not "
+         "run"},
         {"targets_full",
-         "its targets had no capacity, and the retry budget allowed no further attempt; it did not run"},
+         "targets rejected it (full or replaced), and the retry budget allowed no further attempt; it did "
+         "not run"},
         {"no_time_left", "no target could have finished it before the caller's deadline; it did not run"},
         {"attempts_used_up", "it was lost at as many targets as its route allows"},
         {"retry_budget_used_up", "it was lost, and the retry budget of all routers was exhausted"},
-        {"timed_out", "no complete response arrived within the route's timeout"},
-        {"answer_lost", "a target may have run it and its response was lost; it must not be retried"},
+        {"timed_out", "no complete response arrived within the route's or the caller's timeout"},
+        {"answer_lost", "a target may have run it and its response was lost"},
         {"stopping", "its router was shutting down"},
         {"caller_left", "its caller disconnected first"},
         {"no_configuration",
