--- a/Examples/EmbedDecisions.cpp
+++ b/Examples/EmbedDecisions.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint32_t answerTokens = 12;
-constexpr absl::Duration tokenGap = absl::Milliseconds(40);
+constexpr absl::Duration interTokenLatency = absl::Milliseconds(40);
 
 // A simulated engine stream.
 struct Stream
@@ -45,7 +45,7 @@
         request.maxTokens = answerTokens;
         feed(request);
         while (!m_isComplete) {
-            m_now += tokenGap;
+            m_now += interTokenLatency;
             if (m_router->nextWakeUp() <= m_now)
                 feed(Tick{});
             produceTokens();
--- a/Libraries/LibRouting/AdaptivePolicy.cpp
+++ b/Libraries/LibRouting/AdaptivePolicy.cpp
@@ -24,7 +24,7 @@
 // Re-attaching needs no prefill. An engine that still has the stream answers within one round trip.
 constexpr StallRange reattachRange{2, 6, absl::Milliseconds(300), absl::Milliseconds(1500)};
 constexpr absl::Duration maxStallLimit = absl::Seconds(30);
-// Applied to the limit when other routers also suspect the target.
+// Applied to the limit when the target is suspect or gone.
 constexpr double suspectFactor = 0.5;
 
 const StallRange &stallRange(WaitKind kind)
--- a/Libraries/LibRouting/AdmissionQueue.h
+++ b/Libraries/LibRouting/AdmissionQueue.h
@@ -1,6 +1,6 @@
 // Requests waiting for a slot, grouped by service. Urgent requests are served first, then generations that
 // lost their stream, then patient requests. Within a priority, workspaces share capacity by weight
-// (start-time fair queueing).
+// (start-time fair queueing), except that resumed generations all have weight 1.
 
 #pragma once
 
@@ -45,7 +45,8 @@
     {
         std::deque<Item> items;
         // Virtual start time of the front item. It is kept while the flow is empty, so that a workspace can't
-        // avoid its charge by queueing one request at a time.
+        // avoid its charge by queueing one request at a time. It is discarded once no request of the
+        // service is queued.
         double startTag{0};
     };
     struct FairQueue
--- a/Libraries/LibRouting/AffinitySelector.cpp
+++ b/Libraries/LibRouting/AffinitySelector.cpp
@@ -13,7 +13,7 @@
 
 namespace detail {
 
-// Weight multiplier for an engine that reports the prompt prefix as cached.
+// Weight multiplier for a target that probably has the prompt prefix cached.
 constexpr double cachedPrefixWeight = 8;
 // Keeps weights positive, so that full engines remain ordered by their hash.
 constexpr double minFreeShare = 0.01;
--- a/Libraries/LibRouting/AttemptLauncher.cpp
+++ b/Libraries/LibRouting/AttemptLauncher.cpp
@@ -19,7 +19,8 @@
 {
     if (generation.request.urgency == Urgency::Urgent)
         return SlotClass::Urgent;
-    // A generation that lost its stream was already admitted, so it must not wait behind new work.
+    // A patient generation that has delivered tokens and lost its stream was already admitted, so it must not
+    // wait behind new work.
     return generation.hasDelivered() ? SlotClass::Resumed : SlotClass::Patient;
 }
 
--- a/Libraries/LibRouting/AttemptLauncher.h
+++ b/Libraries/LibRouting/AttemptLauncher.h
@@ -25,7 +25,7 @@
     [[nodiscard]] TargetChoice choose(const Generation &, ResumeTargetStrategy) const;
     // Opens a stream whose prefix is the answer up to the next offset of the generation.
     void start(Generation &, const TargetChoice &, DecisionKind);
-    // Attaches to a stream that another router opened earlier.
+    // Attaches to a stream that this or another router opened earlier.
     void reattach(Generation &, const ResumePoint &);
 
     // Ends an attempt that may still be running on the engine and cancels it there.
--- a/Libraries/LibRouting/Events.cpp
+++ b/Libraries/LibRouting/Events.cpp
@@ -28,6 +28,7 @@
         return "queue";
     case DecisionKind::Resume:
         return "resume";
+    // The decision log's existing name for a hedged attempt.
     case DecisionKind::Hedge:
         return "race";
     case DecisionKind::Reattach:
--- a/Libraries/LibRouting/Events.h
+++ b/Libraries/LibRouting/Events.h
@@ -21,8 +21,9 @@
 // Hash of the first block of a prompt. Prompts with equal hashes can share an engine's cached prefix.
 using PromptPrefixHash = StrongId<struct PromptPrefixHashTag, std::uint64_t>;
 
-// Live targets accept work. Suspect targets accept work only if no live target is left. Leaving targets only
-// finish their running work.
+// Live targets accept work. Suspect targets accept work only if no live target is left, except for live
+// targets that are cooling down or have failed the generation, which come after suspect ones. Leaving targets
+// only finish their running work.
 enum class TargetPhase { Live, Suspect, Leaving, Gone };
 [[nodiscard]] std::string_view targetPhaseName(TargetPhase);
 
@@ -67,9 +68,9 @@
     // When the caller stops waiting for the answer.
     absl::Time deadline{absl::InfiniteFuture()};
     std::optional<ResumePoint> resume;
-    // For a reconnecting caller: ItemStamp::changedIn of the service when the generation was first opened. If
-    // the host carries it along (for example in the generation id), an answer cannot continue with a
-    // different model.
+    // For a reconnecting caller: version of the configuration that had last changed the service
+    // (ItemStamp::changedIn) when the answer started. If set, no attempt starts after the service has changed
+    // again, so the answer cannot continue with a different model. A host may carry it in the generation id.
     std::optional<ConfigVersion> openedUnder;
 };
 
@@ -221,9 +222,9 @@
     Error error;
 };
 
-// Tells the caller to continue at another router from its last event id. No tokens or engine work are lost:
-// the host closes the engine connections of the generation without cancelling their streams, except for
-// attempts named by a CancelAttempt.
+// Tells the caller to continue at another router, from its last event id if it has one. Streams named by that
+// id keep running; the host closes their connections without cancelling them. Other attempts get a
+// CancelAttempt.
 struct HandOverGeneration
 {
     GenerationId generation;
--- a/Libraries/LibRouting/Generation.h
+++ b/Libraries/LibRouting/Generation.h
@@ -12,7 +12,7 @@
 
 enum class AttemptKind { Start, Reattach };
 
-// Whether an attempt has produced a token beyond its prefix.
+// Whether a token of the attempt has advanced the answer.
 enum class AttemptProgress { None, Producing };
 
 struct Attempt
--- a/Libraries/LibRouting/GenerationCloser.h
+++ b/Libraries/LibRouting/GenerationCloser.h
@@ -1,5 +1,5 @@
-// Ends generations. Every method releases all resources of the generation, and all except discard() notify
-// the caller immediately.
+// Ends generations. Each method that ends a generation releases all its resources, and all except discard()
+// notify the caller immediately.
 
 #pragma once
 
@@ -13,7 +13,7 @@
     GenerationCloser(RoutingState &state, AttemptLauncher &launcher)
         : m_state(state), m_launcher(launcher) { }
 
-    // Each of the following methods destroys the generation and invalidates the reference.
+    // The methods up to discard() destroy the generation and invalidate the reference.
     void complete(Generation &, FinishReason);
     // `retryDelay` overrides the default retry delay of the error code.
     void refuse(Generation &, ErrorCode, std::string detail,
@@ -21,7 +21,8 @@
     void handOver(Generation &);
     void discard(Generation &);
 
-    // Refuses the generation if its deadline has passed and returns true if it did. If the host process was
+    // Refuses the generation if its deadline has passed and returns true if it did.
+    // Invalidates the reference if it returns true. If the host process was
     // paused, other events may arrive before the Tick for the deadline.
     [[nodiscard]] bool refuseIfExpired(Generation &);
     // Refuses a request that was not admitted.
--- a/Libraries/LibRouting/Recovery.h
+++ b/Libraries/LibRouting/Recovery.h
@@ -24,7 +24,7 @@
     void handleWakeUp(Generation &);
 
     // Starts the next attempt of a generation that has none, possibly after a backoff. The generation may be
-    // queued or refused instead.
+    // queued, completed or refused instead.
     void resumeOrRetry(Generation &);
 
     [[nodiscard]] absl::Time nextCheckAt(const Generation &generation) const
--- a/Libraries/LibRouting/ResumePolicy.h
+++ b/Libraries/LibRouting/ResumePolicy.h
@@ -17,7 +17,7 @@
 struct StallContext
 {
     WaitKind kind{WaitKind::NextToken};
-    // Longest wait of this kind that is normal for this engine.
+    // Longest wait of this kind that is normal for this engine. For Reattach, the wait for the next token.
     absl::Duration expectedMaxWait;
     TargetPhase phase{TargetPhase::Live};
     // ResumeSpec::thrift.
@@ -45,7 +45,7 @@
     [[nodiscard]] virtual absl::Duration stallLimit(const StallContext &) const = 0;
     [[nodiscard]] virtual StallResponse stallResponse() const = 0;
     [[nodiscard]] virtual ResumeTargetStrategy targetStrategy(double thrift) const = 0;
-    // What to do when a caller reconnects from another router while its stream may still be running.
+    // What to do when a caller reconnects, to this or another router, while its stream may still be running.
     [[nodiscard]] virtual ReattachMode reattachMode() const = 0;
 };
 
--- a/Libraries/LibRouting/Router.h
+++ b/Libraries/LibRouting/Router.h
@@ -13,7 +13,7 @@
 class Router
 {
 public:
-    // Attempt ids start at one in each incarnation. The random source must outlive the router.
+    // Attempt ids start at one in each Router instance. The random source must outlive the router.
     [[nodiscard]] static std::unique_ptr<Router> create(RandomSource &random);
     virtual ~Router() = default;
 
--- a/Libraries/LibRouting/RoutingCore.cpp
+++ b/Libraries/LibRouting/RoutingCore.cpp
@@ -11,7 +11,7 @@
 // If a wake-up is late by more than this, the process itself was paused, and the time before does not count
 // as a stall.
 constexpr absl::Duration processPauseThreshold = absl::Milliseconds(250);
-// Load estimates decay over time, so the queue is checked at this interval even without events.
+// Load reports expire and cooldowns end without an event, so the queue is also checked at this interval.
 constexpr absl::Duration queueCheckInterval = absl::Milliseconds(500);
 
 } // namespace detail
--- a/Libraries/LibRouting/RoutingState.h
+++ b/Libraries/LibRouting/RoutingState.h
@@ -60,7 +60,8 @@
     [[nodiscard]] const WorkspaceSpec *workspace(const WorkspaceName &) const;
     [[nodiscard]] const ResumeSpec &resumeSpec(const ServiceName &) const;
     [[nodiscard]] const ResumePolicy &resumePolicy(const ServiceName &) const;
-    // Whether the service still runs the model with which the generation was opened.
+    // Whether the service still runs the model with which the generation was opened. Also false after any
+    // other change to the service if the request has `openedUnder` set.
     [[nodiscard]] bool hasSameModel(const Generation &) const;
 
     void markForReschedule(const Generation &generation) { pendingReschedule.insert(generation.id()); }
--- a/Libraries/LibRouting/SpreadTargetSelection.cpp
+++ b/Libraries/LibRouting/SpreadTargetSelection.cpp
@@ -11,7 +11,7 @@
 
 namespace detail {
 
-// Weight multiplier for an engine that reports the prompt prefix as cached.
+// Weight multiplier for a target that probably has the prompt prefix cached.
 constexpr double cachedPrefixSpreadWeight = 2;
 // Keeps weights positive, so that full engines remain ordered by their hash.
 constexpr double minFreeSlotShare = 0.01;
--- a/Libraries/LibRouting/SpreadTargetSelection.h
+++ b/Libraries/LibRouting/SpreadTargetSelection.h
@@ -1,4 +1,5 @@
-// Selects the target on which a lost generation continues when many generations are lost at once.
+// Selects the target of the next attempt so that generations that lose their streams at the same time spread
+// over the targets.
 
 #pragma once
 
--- a/Libraries/LibRouting/StallDetector.h
+++ b/Libraries/LibRouting/StallDetector.h
@@ -17,8 +17,9 @@
     // Whether the attempt has been stalled for so long that it should be abandoned even if there is no
     // alternative.
     [[nodiscard]] bool shouldAbandon(const Generation &, const Attempt &) const;
-    // Whether all streams of this router on the attempt's target have stalled. That suggests that the engine
-    // is lost, whereas a single stalled stream may just have been preempted by the engine's scheduler.
+    // Whether no stream of this router on the attempt's target has made progress for half the stall limit of
+    // this attempt. That suggests that the engine is lost, whereas a single stalled stream may just have been
+    // preempted by the engine's scheduler.
     [[nodiscard]] bool isTargetStalled(const Generation &, const Attempt &) const;
 
     // When to check the generation again if no event arrives before.
--- a/Libraries/LibRouting/TokenLatencyEstimator.h
+++ b/Libraries/LibRouting/TokenLatencyEstimator.h
@@ -28,8 +28,8 @@
 
     double m_meanSeconds;
     double m_deviationSeconds;
-    // Invariant: at least every recent sample, less its decay since. Covers engines that emit tokens in
-    // bursts.
+    // Invariant: at least each earlier sample (after clipping), decayed once per later sample. Covers engines
+    // that emit tokens in bursts.
     double m_peakSeconds{0};
     std::uint32_t m_samples{0};
 };
--- a/Tests/LibRouting/FakeRoutingCluster.cpp
+++ b/Tests/LibRouting/FakeRoutingCluster.cpp
@@ -343,7 +343,7 @@
         require(m_clock.now() >= deadline, "DeadlineExceeded before the deadline");
     else
         require(isImmediate || m_clock.now() < deadline,
-                "another error was reported only after the deadline");
+                "an error other than DeadlineExceeded was reported after the deadline");
     ++m_counts
           .refusals[std::string(errorName(code)) + (hostedGeneration.tokens.empty() ? "" : " after tokens")];
     if (Caller *caller = connectedCaller(process, hostedGeneration)) {
@@ -365,7 +365,8 @@
     require(process.isDraining, "hand-over by a router that is not draining");
     if (Caller *caller = connectedCaller(process, hostedGeneration))
         scheduleConnect(caller->number, randomDuration(20));
-    // The host closes its connections without cancelling the engine streams, so they keep running.
+    // Only the stream that the caller's last event id names may stay open; the router must cancel all other
+    // attempts.
     std::erase_if(process.attempts, [&](const auto &it) {
         const auto &point = m_callers[hostedGeneration.caller].resumePoints;
         return it.second.generation == action.generation && !point.empty()
--- a/Tests/LibRouting/TestEstimates.cpp
+++ b/Tests/LibRouting/TestEstimates.cpp
@@ -1,5 +1,5 @@
-// Tests the estimators and limits that routing decisions use: token gaps, target load, cooldown, retry
-// budget, workspace shares and affinity selection.
+// Tests the estimators and limits that routing decisions use: inter-token latency, target load, cooldown,
+// retry budget, workspace shares and affinity selection.
 
 #include <LibRouting/AffinitySelector.h>
 #include <LibRouting/RetryBudget.h>
@@ -13,7 +13,7 @@
 class TestEstimates : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestEstimates);
-    CPPUNIT_TEST(tokenGapTailTracksEngineSpeed);
+    CPPUNIT_TEST(interTokenLatencyTailTracksEngineSpeed);
     CPPUNIT_TEST(singlePauseRaisesTokenGapTailAtMostFourfold);
     CPPUNIT_TEST(firstTokenTailScalesWithPrefillLength);
     CPPUNIT_TEST(loadIncludesOwnAttemptsSinceReport);
@@ -26,7 +26,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void tokenGapTailTracksEngineSpeed()
+    void interTokenLatencyTailTracksEngineSpeed()
     {
         TokenLatencyEstimator fast;
         TokenLatencyEstimator slow;
@@ -41,21 +41,21 @@
 
     void singlePauseRaisesTokenGapTailAtMostFourfold()
     {
-        TokenLatencyEstimator gaps;
+        TokenLatencyEstimator estimator;
         for (int it = 0; it < 200; ++it)
-            gaps.addInterTokenLatency(absl::Milliseconds(40));
-        const absl::Duration before = gaps.interTokenLatencyTail();
-        gaps.addInterTokenLatency(absl::Seconds(30));
-        CPPUNIT_ASSERT(gaps.interTokenLatencyTail() <= before * 4);
+            estimator.addInterTokenLatency(absl::Milliseconds(40));
+        const absl::Duration before = estimator.interTokenLatencyTail();
+        estimator.addInterTokenLatency(absl::Seconds(30));
+        CPPUNIT_ASSERT(estimator.interTokenLatencyTail() <= before * 4);
     }
 
     void firstTokenTailScalesWithPrefillLength()
     {
-        TokenLatencyEstimator gaps;
+        TokenLatencyEstimator estimator;
         for (int it = 0; it < 50; ++it)
-            gaps.addTimeToFirstToken(absl::Milliseconds(200), 1024);
-        CPPUNIT_ASSERT(gaps.timeToFirstTokenTail(8192) > absl::Milliseconds(800));
-        CPPUNIT_ASSERT(gaps.timeToFirstTokenTail(0) < absl::Milliseconds(800));
+            estimator.addTimeToFirstToken(absl::Milliseconds(200), 1024);
+        CPPUNIT_ASSERT(estimator.timeToFirstTokenTail(8192) > absl::Milliseconds(800));
+        CPPUNIT_ASSERT(estimator.timeToFirstTokenTail(0) < absl::Milliseconds(800));
     }
 
     void loadIncludesOwnAttemptsSinceReport()
@@ -137,18 +137,18 @@
             candidates[it] = {.id = TargetId("t" + std::to_string(it)), .slots = 16};
         int moved = 0;
         for (std::uint64_t it = 0; it < 1000; ++it) {
-            const PromptPrefixHash head(it * 0x9e3779b97f4a7c15ULL);
-            const TargetId before = candidates[selector.select(candidates, head)].id;
+            const PromptPrefixHash prefixHash(it * 0x9e3779b97f4a7c15ULL);
+            const TargetId before = candidates[selector.select(candidates, prefixHash)].id;
             const std::span<const TargetCandidate> remaining(candidates.data(), candidates.size() - 1);
-            const TargetId after = remaining[selector.select(remaining, head)].id;
+            const TargetId after = remaining[selector.select(remaining, prefixHash)].id;
             moved += before != after ? 1 : 0;
         }
         // Only the prompts of the removed target move, about 1 in 20.
         CPPUNIT_ASSERT(moved > 20 && moved < 90);
-        const PromptPrefixHash head(7);
-        const std::size_t preferred = selector.select(candidates, head);
+        const PromptPrefixHash prefixHash(7);
+        const std::size_t preferred = selector.select(candidates, prefixHash);
         candidates[preferred].load = 16;
-        CPPUNIT_ASSERT(selector.select(candidates, head) != preferred);
+        CPPUNIT_ASSERT(selector.select(candidates, prefixHash) != preferred);
     }
 
     void builtInPluginsAreRegistered()
--- a/Tests/LibRouting/TestSpreadTargetSelection.cpp
+++ b/Tests/LibRouting/TestSpreadTargetSelection.cpp
@@ -41,14 +41,14 @@
 class TestSpreadTargetSelection : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestSpreadTargetSelection);
-    CPPUNIT_TEST(targetWithCachedHeadDoesNotTakeAll);
+    CPPUNIT_TEST(targetWithCachedPrefixDoesNotTakeAll);
     CPPUNIT_TEST(avoidsLostDomain);
     CPPUNIT_TEST(usesLostDomainWhenNoOtherIsLeft);
     CPPUNIT_TEST(avoidsFullTargets);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void targetWithCachedHeadDoesNotTakeAll()
+    void targetWithCachedPrefixDoesNotTakeAll()
     {
         auto targets = detail::sixTargets();
         targets[1].hasCachedPrefix = true;
