--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -30,6 +30,8 @@
 void Admission::handle(const RequestOpened &request)
 {
     // The caller may reconnect before this router has noticed that the old connection broke.
+    // discard() cancels all streams of the old generation, including one that the resume point names. The
+    // generation may then re-attach to that stream, or resumes on another one if the engine no longer has it.
     if (Generation *old = m_state.generations.find(request.generation))
         m_closer.discard(*old);
     if (rejectIfInadmissible(request))
@@ -136,8 +138,8 @@
         service, m_state.queue.sizeAtOrAbove(service, priority), m_state.now);
     const auto retryDelay = detail::retryDelayFor(m_state, wait);
     if (m_state.queue.size(priority) >= m_state.configuration.preset().maxWaiting) {
-        m_closer.refuse(generation, ErrorCode::Overloaded, "too many requests are queued at this router",
-                        retryDelay);
+        m_closer.refuse(generation, ErrorCode::Overloaded,
+                        "too many requests of this priority are queued at this router", retryDelay);
         return;
     }
     if (wait && m_state.now + *wait > generation.request.deadline) {
--- a/Libraries/LibRouting/Events.h
+++ b/Libraries/LibRouting/Events.h
@@ -21,9 +21,8 @@
 // Hash of the first block of a prompt. Prompts with equal hashes can share an engine's cached prefix.
 using PromptPrefixHash = StrongId<struct PromptPrefixHashTag, std::uint64_t>;
 
-// Live targets accept work. Suspect targets accept work only if no live target is left, except for live
-// targets that are cooling down or have failed the generation, which come after suspect ones. Leaving targets
-// only finish their running work.
+// Live targets accept work. Suspect targets accept work only if each live target is cooling down or has
+// failed the generation. Leaving targets only finish their running work.
 enum class TargetPhase { Live, Suspect, Leaving, Gone };
 [[nodiscard]] std::string_view targetPhaseName(TargetPhase);
 
@@ -31,7 +30,7 @@
 
 // Why an attempt ended before the answer was complete.
 enum class AttemptFailure {
-    // The engine did no work: the connection was refused, or the status says so.
+    // The engine did no work: the request was never sent, for example because the connection was refused.
     NotStarted,
     // The engine reported that it is overloaded.
     EngineOverloaded,
@@ -69,8 +68,9 @@
     absl::Time deadline{absl::InfiniteFuture()};
     std::optional<ResumePoint> resume;
     // For a reconnecting caller: version of the configuration that had last changed the service
-    // (ItemStamp::changedIn) when the answer started. If set, no attempt starts after the service has changed
-    // again, so the answer cannot continue with a different model. A host may carry it in the generation id.
+    // (ItemStamp::changedIn) when the answer started. If set, no new stream extends delivered tokens after
+    // the service has changed again, so the answer cannot continue with a different model. A host may carry
+    // it in the event id.
     std::optional<ConfigVersion> openedUnder;
 };
 
@@ -150,6 +150,7 @@
     WorkspaceName workspace;
     // Generations running or queued at all other live routers together.
     std::uint32_t remoteGenerations{0};
+    // Includes this router.
     std::uint32_t liveRouters{1};
 };
 
@@ -230,6 +231,7 @@
     GenerationId generation;
 };
 
+// Resume is the next attempt after a failure, with or without delivered tokens.
 enum class DecisionKind { Start, Queue, Resume, Hedge, Reattach, Adopt, Refuse, HandOver, Complete };
 [[nodiscard]] std::string_view decisionName(DecisionKind);
 
--- a/Libraries/LibRouting/GenerationCloser.h
+++ b/Libraries/LibRouting/GenerationCloser.h
@@ -13,7 +13,8 @@
     GenerationCloser(RoutingState &state, AttemptLauncher &launcher)
         : m_state(state), m_launcher(launcher) { }
 
-    // The methods up to discard() destroy the generation and invalidate the reference.
+    // complete(), refuse(Generation &, ...), handOver() and discard() destroy the generation and invalidate
+    // the reference.
     void complete(Generation &, FinishReason);
     // `retryDelay` overrides the default retry delay of the error code.
     void refuse(Generation &, ErrorCode, std::string detail,
