--- a/Libraries/LibRouting/Admission.cpp
+++ b/Libraries/LibRouting/Admission.cpp
@@ -30,8 +30,9 @@
 void Admission::handle(const RequestOpened &request)
 {
     // The caller may reconnect before this router has noticed that the old connection broke.
-    // discard() cancels all streams of the old generation, including one that the resume point names. The
-    // generation may then re-attach to that stream, or resumes on another one if the engine no longer has it.
+    // discard() cancels all streams of the old generation, including one that the resume point names. The new
+    // generation may still try to re-attach to that stream; if the engine no longer has it, the answer
+    // resumes on a new stream.
     if (Generation *old = m_state.generations.find(request.generation))
         m_closer.discard(*old);
     if (rejectIfInadmissible(request))
--- a/Libraries/LibRouting/GenerationCloser.h
+++ b/Libraries/LibRouting/GenerationCloser.h
@@ -22,9 +22,9 @@
     void handOver(Generation &);
     void discard(Generation &);
 
-    // Refuses the generation if its deadline has passed and returns true if it did.
-    // Invalidates the reference if it returns true. If the host process was
-    // paused, other events may arrive before the Tick for the deadline.
+    // Refuses the generation if its deadline has passed and returns true if it did. Invalidates the reference
+    // if it returns true. If the host process was paused, other events may arrive before the Tick for the
+    // deadline.
     [[nodiscard]] bool refuseIfExpired(Generation &);
     // Refuses a request that was not admitted.
     void refuse(const GenerationId &, ErrorCode, std::string detail,
--- a/Libraries/LibRouting/StallDetector.h
+++ b/Libraries/LibRouting/StallDetector.h
@@ -19,7 +19,7 @@
     [[nodiscard]] bool shouldAbandon(const Generation &, const Attempt &) const;
     // Whether no stream of this router on the attempt's target has made progress for half the stall limit of
     // this attempt. That suggests that the engine is lost, whereas a single stalled stream may just have been
-    // preempted by the engine's scheduler.
+    // preempted by the engine's scheduler. Also true if the target is unknown.
     [[nodiscard]] bool isTargetStalled(const Generation &, const Attempt &) const;
 
     // When to check the generation again if no event arrives before.
--- a/Libraries/LibRouting/TargetTable.h
+++ b/Libraries/LibRouting/TargetTable.h
@@ -15,8 +15,7 @@
     // Leaves the urgent reserve free.
     Patient,
     // A patient generation that has delivered tokens and lost its stream. It may exceed the slots, so that it
-    // does not wait behind new
-    // work.
+    // does not wait behind new work.
     Resumed,
     // Prefers reserved targets and may exceed the slots, because the engine schedules it by priority.
     Urgent,
@@ -60,9 +59,8 @@
     // The targets that are reserved as a whole for urgent work: the first ones of the service in hash order,
     // so that all routers agree on them. Whole targets are reserved because load reports are delayed: routers
     // that each leave some slots of a shared target free would together fill it before a report shows that. A
-    // target without patient work
-    // stays free. Empty if the reserved share amounts to less than one target; then a share of each target's
-    // slots is reserved instead.
+    // target without patient work stays free. Empty if the reserved share amounts to less than one target;
+    // then a share of each target's slots is reserved instead.
     [[nodiscard]] std::set<TargetId> reservedTargets(const CandidateQuery &) const;
     // The targets of the service that the attempt may use, ordered by id.
     [[nodiscard]] std::vector<TargetId> eligibleTargets(const CandidateQuery &,
