--- a/Libraries/LibRouting/Events.h
+++ b/Libraries/LibRouting/Events.h
@@ -21,8 +21,8 @@
 // Hash of the first block of a prompt. Prompts with equal hashes can share an engine's cached prefix.
 using PromptPrefixHash = StrongId<struct PromptPrefixHashTag, std::uint64_t>;
 
-// Live targets accept work. Suspect targets accept work only if no live target is left. Leaving targets only
-// finish their running work.
+// Live targets accept work. Suspect targets accept work only if each live target is cooling down or has
+// failed the generation. Leaving targets only finish their running work.
 enum class TargetPhase { Live, Suspect, Leaving, Gone };
 [[nodiscard]] std::string_view targetPhaseName(TargetPhase);
 
@@ -30,7 +30,7 @@
 
 // Why an attempt ended before the answer was complete.
 enum class AttemptFailure {
-    // The engine did no work: the connection was refused, or the status says so.
+    // The engine did no work: the request was never sent, for example because the connection was refused.
     NotStarted,
     // The engine reported that it is overloaded.
     EngineOverloaded,
@@ -67,9 +67,10 @@
     // When the caller stops waiting for the answer.
     absl::Time deadline{absl::InfiniteFuture()};
     std::optional<ResumePoint> resume;
-    // For a reconnecting caller: ItemStamp::changedIn of the service when the generation was first opened. If
-    // the host carries it along (for example in the generation id), an answer cannot continue with a
-    // different model.
+    // For a reconnecting caller: version of the configuration that had last changed the service
+    // (ItemStamp::changedIn) when the answer started. If set, no new stream extends delivered tokens after
+    // the service has changed again, so the answer cannot continue with a different model. A host may carry
+    // it in the event id.
     std::optional<ConfigVersion> openedUnder;
 };
 
@@ -149,6 +150,7 @@
     WorkspaceName workspace;
     // Generations running or queued at all other live routers together.
     std::uint32_t remoteGenerations{0};
+    // Includes this router.
     std::uint32_t liveRouters{1};
 };
 
@@ -221,14 +223,15 @@
     Error error;
 };
 
-// Tells the caller to continue at another router from its last event id. No tokens or engine work are lost:
-// the host closes the engine connections of the generation without cancelling their streams, except for
-// attempts named by a CancelAttempt.
+// Tells the caller to continue at another router, from its last event id if it has one. Streams named by that
+// id keep running; the host closes their connections without cancelling them. Other attempts get a
+// CancelAttempt.
 struct HandOverGeneration
 {
     GenerationId generation;
 };
 
+// Resume is the next attempt after a failure, with or without delivered tokens.
 enum class DecisionKind { Start, Queue, Resume, Hedge, Reattach, Adopt, Refuse, HandOver, Complete };
 [[nodiscard]] std::string_view decisionName(DecisionKind);
 
