--- a/Libraries/LibLedger/Answers.h
+++ b/Libraries/LibLedger/Answers.h
@@ -8,11 +8,13 @@
 
 namespace Wisteria {
 
-// How long the incarnation that dispatched a call retains its outcome.
+// How long an incarnation retains a settled call. A claimed call may be removed earlier when maxRetainedCalls
+// is reached; a ticketed call never is.
 inline constexpr absl::Duration outcomeRetention = absl::Minutes(10);
 // A larger body is sent to the callers that are waiting, but not retained for later requests.
 inline constexpr std::size_t maxRetainedBodyBytes = std::size_t(64) * 1024;
-// Total size of the retained bodies; applies separately to claimed and to ticketed calls.
+// Total size of the retained bodies; a body beyond it is not retained for later requests. Applies separately
+// to claimed and to ticketed calls.
 inline constexpr std::size_t maxRetainedBytes = std::size_t(16) * 1024 * 1024;
 // Number of retained calls; applies separately to claimed and to ticketed calls. A call takes about 300
 // bytes.
@@ -20,7 +22,8 @@
 
 namespace detail {
 
-// How the router treats calls that have not been dispatched yet.
+// How the router treats calls that have not been dispatched yet. Under Admit, a call is rejected only because
+// its deadline has passed.
 enum class NewCallPolicy {
     Admit,
     // The configuration may be outdated: neither new calls nor calls that are already claimed are dispatched.
@@ -51,7 +54,7 @@
 {
     CallAnswer answer{CallOutcome::Ran, status, std::move(body), std::nullopt};
     if (kept == BodyKept::No)
-        answer.error = Error{ErrorCode::AnswerLost, "the call ran; its body was too large to be kept"};
+        answer.error = Error{ErrorCode::AnswerLost, "the call ran; its body was not retained"};
     return answer;
 }
 
--- a/Libraries/LibLedger/CallLedger.h
+++ b/Libraries/LibLedger/CallLedger.h
@@ -15,7 +15,7 @@
 class CallLedger
 {
 public:
-    // The random source must outlive the ledger. It also generates the secret that authenticates issued
+    // The random source must outlive the ledger. It also generates the secret that seeds the hash in issued
     // tickets.
     [[nodiscard]] static std::unique_ptr<CallLedger> create(const RouterId &self, Incarnation incarnation,
                                                             RandomSource &random);
@@ -29,7 +29,8 @@
     // Returns a new key under which only this incarnation may dispatch a call. It is valid for ticketLifetime
     // from `now`.
     [[nodiscard]] virtual IdempotencyKey issueTicket(absl::Time now) = 0;
-    // True when no call is in progress, which means between its claim and its recorded outcome.
+    // True when no store access, dispatch or forward is in progress and no outcome remains to be written.
+    // Calls whose answer was lost do not count.
     [[nodiscard]] virtual bool isIdle() const = 0;
 };
 
--- a/Libraries/LibLedger/ClaimedCalls.cpp
+++ b/Libraries/LibLedger/ClaimedCalls.cpp
@@ -33,7 +33,8 @@
     }
 }
 
-// The length prefix makes the encoding injective: two different triples never yield the same text.
+// Prefixes each part with its length, so that different (workspace, service, key) triples never give the same
+// text.
 void appendLengthPrefixed(std::string &out, const std::string &part)
 {
     absl::StrAppend(&out, part.size(), ":", part);
@@ -212,7 +213,7 @@
     if (!call || call->phase != ClaimPhase::Forwarding)
         return;
     const CallAnswer answer = event.answer.value_or(detail::makeFailedAnswer(
-        CallOutcome::Unknown, ErrorCode::AnswerLost, "the router that owns the call could not be reached"));
+        CallOutcome::Unknown, ErrorCode::AnswerLost, "the router that owns the call did not answer"));
     if (answer.outcome != CallOutcome::NotRun) {
         answerAll(*call, answer, out);
         return removeCall(*call);
--- a/Libraries/LibLedger/ClaimedCalls.h
+++ b/Libraries/LibLedger/ClaimedCalls.h
@@ -1,10 +1,12 @@
 // At-most-once calls under idempotency keys chosen by the callers. One incarnation claims a key in the object
-// API, and only that incarnation dispatches the call, once.
+// API, and only that incarnation dispatches the call. At most one dispatch may have sent bytes to a target; a
+// dispatch that sent none may be followed by another, also under the same claim.
 //
-// `NotRun` applies to every request that the caller has sent under the key so far. It is returned in two
-// cases only. Either a void of the claim has been written: any other router that tries to claim the key then
-// reads the void. Or the caller numbers its requests and all earlier ones are known not to have run, because
-// this is the first one or because a void covers the earlier ones.
+// `NotRun` with IdempotencyKeyReused applies only to the request that reused the key with another body.
+// Otherwise `NotRun` applies to every request that the caller has sent under the key so far, and is returned
+// in two cases only. Either a void of the claim has been written: any other router that tries to claim the
+// key then reads the void. Or the caller numbers its requests and all earlier ones are known not to have run,
+// because this is the first one or because a void covers the earlier ones.
 //
 // A void covers the requests up to its number; a later request of the caller may take over the claim.
 // Requests without a number cannot be told apart, and a router that was paused may process an old one late. A
@@ -28,7 +30,7 @@
     Claiming,
     // The write of the void is in flight.
     VoidingClaim,
-    // The claim is being read after a lost reply or a conflict.
+    // The claim is being read, because its state in the store is unknown or may have changed.
     Checking,
     // Another incarnation owns the claim; the call has been forwarded to it.
     Forwarding,
@@ -70,20 +72,23 @@
     // Id of the store access or forward in flight; results with another id are ignored.
     CallId pendingCallId;
     CallId dispatchedCallId;
-    // Latest version at which the object is known to match `phase`; zero when there is no object.
+    // Version of the latest claim or void that this incarnation wrote, or read and accepted; zero when none
+    // is known.
     ObjectVersion version;
-    // Nonce of this incarnation's claim; zero for none. Invariant: nothing was dispatched under it before the
-    // phase Running.
+    // Nonce of this incarnation's claim; zero for none. Invariant: no byte was sent to a target under it,
+    // except in the phases Running, Uncertain and Done.
     std::uint64_t claimNonce{0};
     Ownership ownership{Ownership::None};
     ClaimRecord submittedRecord;
-    // Version that a void of this incarnation with a lost reply may still replace; zero for none.
+    // Version that the latest void write of this incarnation was conditional on; zero for none. If the reply
+    // was lost, the write may still be applied to that version.
     ObjectVersion delayedVoidVersion;
-    // Requests up to this number were answered, or may be answered, with NotRun.
+    // Requests up to this number were answered, or may be answered, with NotRun. It also rises without a void
+    // when a request is answered with NotRun because all earlier ones are known not to have run.
     std::uint32_t highestVoidedAttempt{0};
     // Greatest number among the requests that the forward to the owner covers.
     std::uint32_t forwardedAttempt{0};
-    // Why a voided call did not run.
+    // Why the call was not dispatched; returned with NotRun.
     Error reason;
     int tries{0};
     CallAnswer answer;
@@ -167,8 +172,8 @@
     std::set<std::pair<absl::Time, ClaimName>> m_wakeUps;
     // Total size of the bodies retained in Done calls, in bytes.
     std::size_t m_retainedBytes{0};
-    // Number of calls in m_calls with no operation in progress. The remaining ones are between their claim
-    // and their recorded outcome.
+    // Number of calls in m_calls with no store access, dispatch or forward in progress and no outcome that
+    // remains to be written. Calls whose answer was lost count as settled.
     std::size_t m_settledCount{0};
 };
 
--- a/Libraries/LibLedger/ClaimedCallsStore.cpp
+++ b/Libraries/LibLedger/ClaimedCallsStore.cpp
@@ -19,7 +19,7 @@
 
 namespace detail {
 
-// Writes for one request before the store protocol is abandoned.
+// Claim and void writes of a call before the store protocol gives up.
 constexpr int maxTries = 6;
 // Exponential backoff between attempts to write the outcome.
 constexpr absl::Duration firstBackoff = absl::Milliseconds(200);
@@ -107,7 +107,7 @@
 void ClaimedCalls::writeVoid(ClaimedCall &call, ObjectVersion expected, absl::Time now, LedgerActions &out)
 {
     if (call.reason.detail.empty())
-        call.reason = Error{detail::rejectionCode(m_newCallPolicy), "abandoned before dispatch",
+        call.reason = Error{detail::rejectionCode(m_newCallPolicy), "rejected before dispatch",
                             detail::otherRouterRetryAfter};
     call.submittedRecord = ClaimRecord{m_self, m_incarnation, newNonce(), call.digest, ClaimState::Voided};
     call.submittedRecord.attempt = detail::highestAttempt(call);
@@ -192,8 +192,10 @@
         call->highestVoidedAttempt = std::max(call->highestVoidedAttempt, record.attempt);
         if (record == call->submittedRecord)
             return handleVoidApplied(*call, now, out);
-        call->reason =
-            Error{ErrorCode::NoTargetAvailable, "the call was voided earlier; use a new key", std::nullopt};
+        call->reason = Error{ErrorCode::NoTargetAvailable,
+                             "an earlier request voided the call; retry with a greater request number, "
+                             "or with a new key if requests are not numbered",
+                             std::nullopt};
         answerVoided(*call, out);
         if (call->waiters.empty())
             return settle(*call, ClaimPhase::ClaimVoided, now);
--- a/Libraries/LibLedger/Events.h
+++ b/Libraries/LibLedger/Events.h
@@ -1,6 +1,7 @@
 // Events and actions of the at-most-once calls. Only the router incarnation that owns a call may dispatch it,
-// and it does so once. A call's key is either a ticket, which is owned by its issuer, or a key chosen by the
-// caller, which one incarnation claims by a conditional create in the object API.
+// and at most one dispatch may have sent bytes to a target; a dispatch that sent none may be followed by
+// another. A call's key is either a ticket, which is owned by its issuer, or a key chosen by the caller,
+// which one incarnation claims by a conditional create in the object API.
 
 #pragma once
 
@@ -27,7 +28,9 @@
 enum class CallOutcome {
     // The call ran; the target's answer is attached.
     Ran,
-    // No byte of the call can have reached a target, and none will under this claim or ticket.
+    // No byte of the call can have reached a target, and none will for the requests sent so far under its
+    // key.
+    // With IdempotencyKeyReused this applies only to the rejected request.
     NotRun,
     // The call may have run. The caller can retry with the same key.
     Unknown,
@@ -53,13 +56,15 @@
     int status{0};
     std::string body{};
     // Reason for NotRun and Unknown; its retryAfter is the delay before a retry. For Ran it is AnswerLost
-    // when the body was too large to be retained for later requests.
+    // when the body was not retained for later requests: it was too large, or the total limit
+    // maxRetainedBytes was reached.
     std::optional<Error> error{};
 };
 
 enum class ClaimState { Claimed, Voided, Done };
 
-// Whether a recorded outcome includes the target's body. Bodies above the size limit are not recorded.
+// Whether a recorded outcome includes the target's body. Bodies above the size limit, or beyond the total
+// limit maxRetainedBytes, are not recorded.
 enum class BodyKept { Yes, No };
 
 // Content of the object that stores a claim.
@@ -88,6 +93,7 @@
 
 struct CallReceived
 {
+    // One arrival of the call at this router. Several requests under one key have different ids.
     CallId call;
     WorkspaceName workspace;
     ServiceName service;
@@ -95,11 +101,12 @@
     BodyDigest digest;
     // Time when the caller stops waiting.
     absl::Time deadline{absl::InfiniteFuture()};
-    // Number of the caller's request under this key, from 1; zero when the caller does not number its
+    // The caller's own number of its request under this key, from 1; zero when the caller does not number its
     // requests. Without it a router cannot distinguish the first request from a retry of one that ran
     // elsewhere, and the key cannot be used again after NotRun. Not needed with tickets.
     std::uint32_t attempt{0};
-    // Router for a call forwarded by another router; its caller may have timed out since.
+    // `Router` if another router forwarded the call; such a call under a ticket is not forwarded again. Its
+    // caller may have timed out since.
     CallSource source{CallSource::Caller};
 };
 
@@ -147,7 +154,7 @@
     BytesSent sent{BytesSent::Maybe};
 };
 
-// Answer of the owner to a forwarded call; empty when the owner could not be reached.
+// Answer of the owner to a forwarded call; empty when the owner did not answer.
 struct OwnerAnswered
 {
     CallId call;
@@ -190,8 +197,8 @@
     ClaimName name;
 };
 
-// Dispatches the call; issued at most once per call. The host chooses a live target and must not retry once
-// any byte may have been sent.
+// Dispatches the call; issued again for the same call only after a dispatch that sent no byte. The host
+// chooses a live target and must not retry once any byte may have been sent.
 struct Dispatch
 {
     CallId call;
--- a/Libraries/LibLedger/Ticket.h
+++ b/Libraries/LibLedger/Ticket.h
@@ -12,7 +12,7 @@
 
 // Sequence number of a ticket within its incarnation, from 1.
 using TicketNumber = StrongId<struct TicketNumberTag, std::uint64_t>;
-// Secret of the issuing incarnation that authenticates its tickets.
+// Secret of the issuing incarnation that seeds the hash in its tickets.
 using TicketSecret = StrongId<struct TicketSecretTag, std::uint64_t>;
 
 struct Ticket
@@ -20,7 +20,7 @@
     RouterId router;
     Incarnation incarnation;
     TicketNumber number;
-    // Keyed hash over the other members.
+    // XXH64 over the other members, seeded with the secret; not a cryptographic MAC.
     std::uint64_t keyedHash{0};
 
     bool operator==(const Ticket &) const = default;
--- a/Libraries/LibLedger/TicketedCalls.cpp
+++ b/Libraries/LibLedger/TicketedCalls.cpp
@@ -90,7 +90,8 @@
         return detail::answerCall(
             out, received.call,
             detail::makeFailedAnswer(CallOutcome::NotRun, ErrorCode::IdempotencyKeyReused,
-                                     "the ticket was already used with a different body", std::nullopt));
+                                     "the ticket was already used for a different workspace, service or body",
+                                     std::nullopt));
     if (call.phase != TicketPhase::Running)
         return detail::answerCall(out, received.call, call.answer);
     call.waiters.push_back(TicketWaiter{received.call, received.deadline});
@@ -182,10 +183,10 @@
         return;
     m_forwardDeadlines.erase({it->second, event.call});
     m_forwardedCalls.erase(it);
-    detail::answerCall(out, event.call,
-                       event.answer.value_or(detail::makeFailedAnswer(
-                           CallOutcome::Unknown, ErrorCode::AnswerLost,
-                           "the router that issued the ticket could not be reached")));
+    detail::answerCall(
+        out, event.call,
+        event.answer.value_or(detail::makeFailedAnswer(CallOutcome::Unknown, ErrorCode::AnswerLost,
+                                                       "the router that issued the ticket did not answer")));
 }
 
 void TicketedCalls::tick(absl::Time now, LedgerActions &out)
@@ -237,7 +238,8 @@
     // An uncertain call keeps its dispatch id, under which a late answer may still arrive.
     if (phase != TicketPhase::Uncertain)
         m_ticketsByDispatch.erase(call.dispatchedCallId);
-    // By then every ticket issued up to now has expired, including this one.
+    // The call is kept until every ticket issued up to now has expired, including its own; otherwise the
+    // ticket could be dispatched again.
     setWakeUp(call, now + std::max(ticketLifetime, outcomeRetention) + 2 * detail::issueCheckpointInterval);
 }
 
--- a/Libraries/LibLedger/TicketedCalls.h
+++ b/Libraries/LibLedger/TicketedCalls.h
@@ -23,7 +23,7 @@
     // Dispatched, but the answer was lost. A late answer is still accepted.
     Uncertain,
     Done,
-    // Rejected before its dispatch; the call never runs.
+    // The call was rejected, or its dispatch failed before any byte was sent; it never runs.
     Consumed,
 };
 
--- a/Tests/LibForwarding/TestDeadlineAdmission.cpp
+++ b/Tests/LibForwarding/TestDeadlineAdmission.cpp
@@ -39,28 +39,28 @@
     void promptThatCannotBePrefilledInTimeIsRejected()
     {
         const GenerationSize size{.promptTokens = 8000, .maxOutputTokens = 1000};
-        CPPUNIT_ASSERT(canEnd(size, absl::ZeroDuration(), absl::Seconds(1)));
-        CPPUNIT_ASSERT(!canEnd(size, absl::ZeroDuration(), absl::Milliseconds(999)));
-        CPPUNIT_ASSERT(!canEnd(size, absl::Milliseconds(1), absl::Seconds(1)));
-        CPPUNIT_ASSERT(!canEnd(size, absl::InfiniteDuration(), absl::Seconds(100)));
+        CPPUNIT_ASSERT(canMeetDeadline(size, absl::ZeroDuration(), absl::Seconds(1)));
+        CPPUNIT_ASSERT(!canMeetDeadline(size, absl::ZeroDuration(), absl::Milliseconds(999)));
+        CPPUNIT_ASSERT(!canMeetDeadline(size, absl::Milliseconds(1), absl::Seconds(1)));
+        CPPUNIT_ASSERT(!canMeetDeadline(size, absl::InfiniteDuration(), absl::Seconds(100)));
     }
 
     void expectedOutputCountsWhenPromptsAreQueued()
     {
         const GenerationSize size{
             .promptTokens = 8000, .maxOutputTokens = 1000, .expectedOutputTokens = 1000};
-        CPPUNIT_ASSERT(canEnd(size, absl::Milliseconds(100), absl::Milliseconds(4600)));
-        CPPUNIT_ASSERT(!canEnd(size, absl::Milliseconds(100), absl::Milliseconds(4599)));
+        CPPUNIT_ASSERT(canMeetDeadline(size, absl::Milliseconds(100), absl::Milliseconds(4600)));
+        CPPUNIT_ASSERT(!canMeetDeadline(size, absl::Milliseconds(100), absl::Milliseconds(4599)));
     }
 
-    // The expected output length is only an estimate. Rejecting by it turned away callers near their deadline
+    // The expected output length is only an estimate. Rejecting by it refused callers near their deadline
     // while targets were idle.
     void idleTargetIsUsedDespiteExpectedOutput()
     {
         const GenerationSize size{
             .promptTokens = 8000, .maxOutputTokens = 1000, .expectedOutputTokens = 1000};
-        CPPUNIT_ASSERT(canEnd(size, absl::ZeroDuration(), absl::Seconds(1)));
-        CPPUNIT_ASSERT(!canEnd(size, absl::ZeroDuration(), absl::Milliseconds(999)));
+        CPPUNIT_ASSERT(canMeetDeadline(size, absl::ZeroDuration(), absl::Seconds(1)));
+        CPPUNIT_ASSERT(!canMeetDeadline(size, absl::ZeroDuration(), absl::Milliseconds(999)));
     }
 
     void backlogIsThatOfBestHealthyTarget()
@@ -81,12 +81,12 @@
     // Each target prefills one prompt per second.
     void rejectionImprovesGoodputAfterOutage()
     {
-        const auto before = replayReconnectBurst(detail::AdmissionPolicy::AdmitAll);
-        const auto after = replayReconnectBurst(detail::AdmissionPolicy::RejectInfeasible);
-        CPPUNIT_ASSERT(after.served > before.served);
-        CPPUNIT_ASSERT(after.wastedPrefillTokens * 4 < before.wastedPrefillTokens);
-        CPPUNIT_ASSERT_EQUAL(0, before.refused);
-        CPPUNIT_ASSERT(after.refused > 0);
+        const auto admitAll = replayReconnectBurst(detail::AdmissionPolicy::AdmitAll);
+        const auto rejectInfeasible = replayReconnectBurst(detail::AdmissionPolicy::RejectInfeasible);
+        CPPUNIT_ASSERT(rejectInfeasible.served > admitAll.served);
+        CPPUNIT_ASSERT(rejectInfeasible.wastedPrefillTokens * 4 < admitAll.wastedPrefillTokens);
+        CPPUNIT_ASSERT_EQUAL(0, admitAll.refused);
+        CPPUNIT_ASSERT(rejectInfeasible.refused > 0);
     }
 
     void moderateLoadIsNotRejected()
@@ -94,7 +94,7 @@
         const GenerationSize size{
             .promptTokens = 14400, .maxOutputTokens = 1400, .expectedOutputTokens = 1400};
         // The largest expected prompt, queued behind three prompts of the same size.
-        CPPUNIT_ASSERT(canEnd(size, absl::Milliseconds(3 * 1800), absl::Seconds(25)));
+        CPPUNIT_ASSERT(canMeetDeadline(size, absl::Milliseconds(3 * 1800), absl::Seconds(25)));
     }
 
 private:
@@ -102,7 +102,7 @@
 
     static TargetId id(int n) { return TargetId(absl::StrCat("t", n)); }
 
-    static bool canEnd(const GenerationSize &size, absl::Duration backlog, absl::Duration timeLeft)
+    static bool canMeetDeadline(const GenerationSize &size, absl::Duration backlog, absl::Duration timeLeft)
     {
         return DeadlineAdmission::canFinishInTime({.size = size, .backlog = backlog, .timeLeft = timeLeft});
     }
@@ -140,7 +140,7 @@
             }
             const auto prefillStart = std::max(availableAt[best], now);
             const bool isRefused = policy == detail::AdmissionPolicy::RejectInfeasible
-                && !canEnd(size, prefillStart - now, timeLeft);
+                && !canMeetDeadline(size, prefillStart - now, timeLeft);
             if (isRefused) {
                 ++out.refused;
                 continue;
--- a/Tests/LibForwarding/TestDirectorySynchronizer.cpp
+++ b/Tests/LibForwarding/TestDirectorySynchronizer.cpp
@@ -25,19 +25,19 @@
 public:
     void listsThenWatches()
     {
-        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartList>(m_follower.begin()));
-        const auto actions = m_follower.handle(listResult({"a", "b"}, 10), m_now);
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartList>(m_synchronizer.begin()));
+        const auto actions = m_synchronizer.handle(listResult({"a", "b"}, 10), m_now);
         CPPUNIT_ASSERT_EQUAL(2, countActions<DirectorySyncActions::Apply>(actions));
         CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartWatch>(actions));
-        CPPUNIT_ASSERT(m_follower.hasView());
+        CPPUNIT_ASSERT(m_synchronizer.hasView());
     }
 
     void lostHistoryTriggersRelist()
     {
         loadInitialList();
         CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StartList>(
-            m_follower.handle(DirectorySyncEvents::RevisionExpired{}, m_now)));
-        const auto actions = m_follower.handle(listResult({"a"}, 20), m_now);
+            m_synchronizer.handle(DirectorySyncEvents::RevisionExpired{}, m_now)));
+        const auto actions = m_synchronizer.handle(listResult({"a"}, 20), m_now);
         CPPUNIT_ASSERT_EQUAL(1, countActions<DirectorySyncActions::Remove>(actions));
     }
 
@@ -47,14 +47,14 @@
         int calls = 0;
         auto now = m_now;
         const auto end = m_now + absl::Seconds(20);
-        auto actions = m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
+        auto actions = m_synchronizer.handle(DirectorySyncEvents::CallFailed{}, now);
         CPPUNIT_ASSERT(hasAction<DirectorySyncActions::StoreLost>(actions));
         while (now < end) {
             now += absl::Milliseconds(10);
-            actions = m_follower.handle(DirectorySyncEvents::Tick{}, now);
+            actions = m_synchronizer.handle(DirectorySyncEvents::Tick{}, now);
             if (hasAction<DirectorySyncActions::StartWatch>(actions)) {
                 ++calls;
-                (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, now);
+                (void)m_synchronizer.handle(DirectorySyncEvents::CallFailed{}, now);
             }
         }
         // The backoff settles at no more than about two calls per second.
@@ -64,21 +64,21 @@
     // When all routers restart during a store outage, nothing is served until the first list succeeds.
     void initialListIsRetriedWithShorterBackoff()
     {
-        DirectorySynchronizer follower(m_random);
-        (void)follower.begin();
+        DirectorySynchronizer synchronizer(m_random);
+        (void)synchronizer.begin();
         auto now = m_now;
-        (void)follower.handle(DirectorySyncEvents::CallFailed{}, now);
+        (void)synchronizer.handle(DirectorySyncEvents::CallFailed{}, now);
         auto lastCall = now;
         const auto end = m_now + absl::Seconds(20);
         while (now < end) {
             now += absl::Milliseconds(10);
             if (!hasAction<DirectorySyncActions::StartList>(
-                    follower.handle(DirectorySyncEvents::Tick{}, now)))
+                    synchronizer.handle(DirectorySyncEvents::Tick{}, now)))
                 continue;
             CPPUNIT_ASSERT(now - lastCall
                            <= DirectorySynchronizer::maxBackoffWithoutView + absl::Milliseconds(10));
             lastCall = now;
-            (void)follower.handle(DirectorySyncEvents::CallFailed{}, now);
+            (void)synchronizer.handle(DirectorySyncEvents::CallFailed{}, now);
         }
         CPPUNIT_ASSERT(lastCall > end - absl::Seconds(1));
     }
@@ -86,33 +86,33 @@
     void expiredEntryThatReturnsWithinGraceIsKept()
     {
         loadInitialList();
-        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        (void)m_synchronizer.handle(DirectorySyncEvents::CallFailed{}, m_now);
         const auto storeReturn = m_now + absl::Seconds(5);
-        auto actions = m_follower.handle(
+        auto actions = m_synchronizer.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
             storeReturn);
         CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Remove>(actions));
-        actions = m_follower.handle(
+        actions = m_synchronizer.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(12), false}}, ObjectVersion(12)},
             storeReturn + absl::Seconds(1));
-        actions = m_follower.handle(DirectorySyncEvents::Tick{}, storeReturn + absl::Seconds(10));
+        actions = m_synchronizer.handle(DirectorySyncEvents::Tick{}, storeReturn + absl::Seconds(10));
         CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Remove>(actions));
     }
 
     void expiredEntryIsRemovedAfterGrace()
     {
         loadInitialList();
-        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        (void)m_synchronizer.handle(DirectorySyncEvents::CallFailed{}, m_now);
         const auto storeReturn = m_now + absl::Seconds(5);
-        (void)m_follower.handle(
+        (void)m_synchronizer.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
             storeReturn);
         const auto before = storeReturn + DirectorySynchronizer::removalGracePeriod - absl::Milliseconds(1);
-        CPPUNIT_ASSERT(
-            !hasAction<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, before)));
+        CPPUNIT_ASSERT(!hasAction<DirectorySyncActions::Remove>(
+            m_synchronizer.handle(DirectorySyncEvents::Tick{}, before)));
         const auto after = storeReturn + DirectorySynchronizer::removalGracePeriod;
-        CPPUNIT_ASSERT(
-            hasAction<DirectorySyncActions::Remove>(m_follower.handle(DirectorySyncEvents::Tick{}, after)));
+        CPPUNIT_ASSERT(hasAction<DirectorySyncActions::Remove>(
+            m_synchronizer.handle(DirectorySyncEvents::Tick{}, after)));
     }
 
     // If the store rejected only this router's calls, a removal is real. Holding it back as a possible expiry
@@ -120,9 +120,9 @@
     void removalAppliesAtOnceWhenOtherRoutersReachedStore()
     {
         loadInitialList();
-        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
-        m_follower.setStoreTrustedByOthers(true);
-        const auto actions = m_follower.handle(
+        (void)m_synchronizer.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        m_synchronizer.setStoreTrustedByOthers(true);
+        const auto actions = m_synchronizer.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(11), true}}, ObjectVersion(11)},
             m_now + absl::Seconds(5));
         CPPUNIT_ASSERT(hasAction<DirectorySyncActions::Remove>(actions));
@@ -131,8 +131,8 @@
     void relayedRemovalAppliesDuringOutage()
     {
         loadInitialList();
-        (void)m_follower.handle(DirectorySyncEvents::CallFailed{}, m_now);
-        const auto actions = m_follower.handle(
+        (void)m_synchronizer.handle(DirectorySyncEvents::CallFailed{}, m_now);
+        const auto actions = m_synchronizer.handle(
             DirectorySyncEvents::RelayReceived{{{"a", ObjectVersion(11), true}}, ObjectVersion(11), false},
             m_now);
         CPPUNIT_ASSERT(hasAction<DirectorySyncActions::Remove>(actions));
@@ -141,7 +141,7 @@
     void staleRelayIsIgnored()
     {
         loadInitialList();
-        const auto actions = m_follower.handle(
+        const auto actions = m_synchronizer.handle(
             DirectorySyncEvents::RelayReceived{{{"a", ObjectVersion(3), true}}, ObjectVersion(9), true},
             m_now);
         CPPUNIT_ASSERT(actions.empty());
@@ -150,9 +150,9 @@
     void staleObjectRevisionIsIgnored()
     {
         loadInitialList();
-        (void)m_follower.handle(
+        (void)m_synchronizer.handle(
             DirectorySyncEvents::WatchCompleted{{{"a", ObjectVersion(15), false}}, ObjectVersion(15)}, m_now);
-        const auto actions = m_follower.handle(
+        const auto actions = m_synchronizer.handle(
             DirectorySyncEvents::WatchCompleted{
                 {{"a", ObjectVersion(14), false}, {"a", ObjectVersion(14), true}}, ObjectVersion(16)},
             m_now);
@@ -163,11 +163,11 @@
     void relayedChangesAdvanceRevision()
     {
         loadInitialList();
-        (void)m_follower.handle(
+        (void)m_synchronizer.handle(
             DirectorySyncEvents::RelayReceived{{{"c", ObjectVersion(30), false}}, ObjectVersion(30), false},
             m_now);
-        CPPUNIT_ASSERT(m_follower.changeRevision() == ObjectVersion(30));
-        CPPUNIT_ASSERT(m_follower.revision() == ObjectVersion(30));
+        CPPUNIT_ASSERT(m_synchronizer.changeRevision() == ObjectVersion(30));
+        CPPUNIT_ASSERT(m_synchronizer.revision() == ObjectVersion(30));
     }
 
 private:
@@ -182,8 +182,8 @@
     }
     void loadInitialList()
     {
-        (void)m_follower.begin();
-        (void)m_follower.handle(listResult({"a", "b"}, 10), m_now);
+        (void)m_synchronizer.begin();
+        (void)m_synchronizer.handle(listResult({"a", "b"}, 10), m_now);
     }
     template <typename Action>
     static int countActions(const DirectorySyncActionList &actions)
@@ -201,7 +201,7 @@
 
     absl::Time m_now{absl::FromUnixSeconds(1000)};
     SeededRandom m_random{3};
-    DirectorySynchronizer m_follower{m_random};
+    DirectorySynchronizer m_synchronizer{m_random};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TestDirectorySynchronizer);
--- a/Tests/LibForwarding/TestForwardedRequest.cpp
+++ b/Tests/LibForwarding/TestForwardedRequest.cpp
@@ -30,36 +30,36 @@
     return nullptr;
 }
 
-ForwardingParameters streamTerms()
+ForwardingParameters streamParameters()
 {
-    ForwardingParameters terms;
-    terms.kind = RouteKind::ResumableStream;
-    terms.maxAttempts = 5;
-    terms.routeTimeout = absl::Seconds(25);
-    terms.callerTimeout = absl::Seconds(25);
-    terms.latencyObjective = absl::Milliseconds(4500);
-    terms.maxEventGap = absl::Milliseconds(700);
-    terms.usesCopies = true;
-    return terms;
+    ForwardingParameters parameters;
+    parameters.kind = RouteKind::ResumableStream;
+    parameters.maxAttempts = 5;
+    parameters.routeTimeout = absl::Seconds(25);
+    parameters.callerTimeout = absl::Seconds(25);
+    parameters.latencyObjective = absl::Milliseconds(4500);
+    parameters.maxEventGap = absl::Milliseconds(700);
+    parameters.usesCopies = true;
+    return parameters;
 }
 
-ForwardingParameters nonIdempotentTerms()
+ForwardingParameters nonIdempotentParameters()
 {
-    ForwardingParameters terms;
-    terms.kind = RouteKind::AtMostOnce;
-    terms.maxAttempts = 1;
-    terms.routeTimeout = absl::Milliseconds(800);
-    terms.callerTimeout = absl::Milliseconds(1500);
-    terms.latencyObjective = absl::Milliseconds(100);
-    return terms;
+    ForwardingParameters parameters;
+    parameters.kind = RouteKind::AtMostOnce;
+    parameters.maxAttempts = 1;
+    parameters.routeTimeout = absl::Milliseconds(800);
+    parameters.callerTimeout = absl::Milliseconds(1500);
+    parameters.latencyObjective = absl::Milliseconds(100);
+    return parameters;
 }
 
-ForwardingParameters idempotentTerms()
+ForwardingParameters idempotentParameters()
 {
-    auto terms = nonIdempotentTerms();
-    terms.kind = RouteKind::Idempotent;
-    terms.maxAttempts = 2;
-    return terms;
+    auto parameters = nonIdempotentParameters();
+    parameters.kind = RouteKind::Idempotent;
+    parameters.maxAttempts = 2;
+    return parameters;
 }
 
 constexpr int ampleRetries = 100;
@@ -94,7 +94,7 @@
     void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::nonIdempotentParameters(), budget, m_start);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(request.begin(m_start)));
         const auto actions =
             request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Milliseconds(10));
@@ -109,7 +109,7 @@
     void nonIdempotentRequestIsRetriedWhenNoByteWasAccepted()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::nonIdempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::AttemptNotExecuted{}, m_start);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
@@ -118,7 +118,7 @@
     void retryAfterRefusalConsumesBudget()
     {
         detail::FixedRetryBudget budget(1);
-        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::nonIdempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
         const ForwardingEvents::AttemptNotExecuted refused{.fault = TargetFault::Gone, .wasRefused = true};
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(request.handle(refused, m_start)));
@@ -131,7 +131,7 @@
     void missingTargetIsRejectedAsNotRun()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::NoTarget{}, m_start);
         const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
@@ -142,7 +142,7 @@
     void routeTimeoutYields504()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::nonIdempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
         CPPUNIT_ASSERT_EQUAL(std::string("800ms"), absl::FormatDuration(request.deadline() - m_start));
         const auto actions = request.handle(ForwardingEvents::Tick{}, request.deadline());
@@ -155,7 +155,7 @@
     void failedIdempotentRequestIsRetriedThenDelivered()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::idempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::idempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
         auto actions = request.handle(ForwardingEvents::ResponseReceived{500}, m_start);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartAttempt>(actions));
@@ -167,8 +167,9 @@
     void stalledIdempotentAttemptIsRetried()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::idempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::idempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
+        // Stall deadline of a request without a stream: 3 x latencyObjective (100 ms).
         const auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(301));
         const auto *cancel = detail::findAction<ForwardingActions::CancelAttempt>(actions);
         CPPUNIT_ASSERT(cancel && cancel->fault == TargetFault::Unresponsive);
@@ -178,8 +179,9 @@
     void stalledIdempotentAttemptContinuesWithoutBudget()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::idempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::idempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
+        // Stall deadline of a request without a stream: 3 x latencyObjective (100 ms).
         auto actions = request.handle(ForwardingEvents::Tick{}, m_start + absl::Milliseconds(301));
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(actions));
         actions = request.handle(ForwardingEvents::ResponseReceived{200}, m_start + absl::Milliseconds(400));
@@ -191,7 +193,7 @@
     {
         detail::FixedRetryBudget budget(10);
         const auto now = absl::FromUnixSeconds(1000);
-        ForwardedRequest request(detail::streamTerms(), budget, now);
+        ForwardedRequest request(detail::streamParameters(), budget, now);
         (void)request.begin(now);
         const auto actions = request.handle(ForwardingEvents::NoTimeLeft{}, now);
         const auto *refusal = detail::findAction<ForwardingActions::Refuse>(actions);
@@ -199,7 +201,7 @@
         CPPUNIT_ASSERT_EQUAL(503, refusal->status);
         CPPUNIT_ASSERT(request.isFinished());
         // Once an attempt may have run, the response must not claim that the request did not run.
-        ForwardedRequest repeated(detail::streamTerms(), budget, now);
+        ForwardedRequest repeated(detail::streamParameters(), budget, now);
         (void)repeated.begin(now);
         (void)repeated.handle(ForwardingEvents::AttemptLost{}, now);
         const auto last = repeated.handle(ForwardingEvents::NoTimeLeft{}, now);
@@ -212,10 +214,10 @@
     {
         detail::FixedRetryBudget budget(10);
         const auto begin = absl::FromUnixSeconds(1000);
-        ForwardedRequest request(detail::streamTerms(), budget, begin);
+        ForwardedRequest request(detail::streamParameters(), budget, begin);
         (void)request.begin(begin);
         (void)request.handle(ForwardingEvents::AttemptSent{absl::Seconds(1)}, begin);
-        const auto objective = detail::streamTerms().latencyObjective;
+        const auto objective = detail::streamParameters().latencyObjective;
         const auto early =
             request.handle(ForwardingEvents::Tick{}, begin + objective - absl::Milliseconds(1));
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(early));
@@ -232,9 +234,10 @@
     {
         detail::FixedRetryBudget budget(10);
         const auto begin = absl::FromUnixSeconds(1000);
-        ForwardedRequest request(detail::streamTerms(), budget, begin);
+        ForwardedRequest request(detail::streamParameters(), budget, begin);
         (void)request.begin(begin);
         (void)request.handle(ForwardingEvents::AttemptSent{absl::Seconds(4)}, begin);
+        // First-event deadline: 3 x expected time to first event (4 s) = 12 s.
         const auto actions = request.handle(ForwardingEvents::Tick{}, begin + absl::Milliseconds(11900));
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::CancelAttempt>(actions));
         const auto lost = request.handle(ForwardingEvents::Tick{}, begin + absl::Seconds(12));
@@ -244,11 +247,12 @@
     void stalledStreamResumesFromCopy()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         const auto eventAt = m_start + absl::Seconds(1);
         CPPUNIT_ASSERT(detail::findAction<ForwardingActions::StartResponse>(
             request.handle(ForwardingEvents::EventsReceived{EventNumber(7)}, eventAt)));
+        // Stall deadline after an event: half of maxEventGap (700 ms).
         const auto actions = request.handle(ForwardingEvents::Tick{}, eventAt + absl::Milliseconds(351));
         const auto *start = detail::findAction<ForwardingActions::StartAttempt>(actions);
         CPPUNIT_ASSERT(start && start->fromCopy);
@@ -260,7 +264,7 @@
     void missingCopyIsRecomputedAfterLastEvent()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(3)}, m_start + absl::Seconds(1));
         auto actions = request.handle(ForwardingEvents::AttemptLost{}, m_start + absl::Seconds(1));
@@ -276,7 +280,7 @@
     void streamUsesAtMostMaxAttempts()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         int attempts = 0;
         auto actions = request.begin(m_start);
         while (detail::findAction<ForwardingActions::StartAttempt>(actions)) {
@@ -290,7 +294,7 @@
     void interruptedStreamIsNeverCompleted()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(1)}, m_start);
         const auto actions = request.handle(ForwardingEvents::AttemptLost{}, m_start);
@@ -302,7 +306,7 @@
     void callerDisconnectCancelsAttempt()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::CallerDisconnected{}, m_start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
@@ -313,7 +317,7 @@
     void shutdownAbortsRunningStream()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         (void)request.handle(ForwardingEvents::EventsReceived{EventNumber(1)}, m_start);
         const auto actions = request.handle(ForwardingEvents::ShutdownRequested{}, m_start);
@@ -324,7 +328,7 @@
     void shutdownDoesNotReportStartedRequestAsNotRun()
     {
         detail::FixedRetryBudget budget(0);
-        ForwardedRequest request(detail::nonIdempotentTerms(), budget, m_start);
+        ForwardedRequest request(detail::nonIdempotentParameters(), budget, m_start);
         (void)request.begin(m_start);
         const auto actions = request.handle(ForwardingEvents::ShutdownRequested{}, m_start);
         CPPUNIT_ASSERT(!detail::findAction<ForwardingActions::Refuse>(actions)->isNotExecuted);
@@ -333,7 +337,7 @@
     void longPrefillIsProbedNotRetried()
     {
         detail::FixedRetryBudget budget(detail::ampleRetries);
-        ForwardedRequest request(detail::streamTerms(), budget, m_start);
+        ForwardedRequest request(detail::streamParameters(), budget, m_start);
         (void)request.begin(m_start);
         int probes = 0;
         for (int ms = 0; ms < 4000; ms += 50) {
--- a/Tests/LibForwarding/TestForwardingTables.cpp
+++ b/Tests/LibForwarding/TestForwardingTables.cpp
@@ -1,4 +1,4 @@
-// Tests the route table, retry budget, event splitter, peer reports and router roster.
+// Tests the route table, retry budget, event splitter, peer reports and router registry.
 
 #include <LibCore/Random.h>
 #include <LibForwarding/EventSplitter.h>
@@ -75,19 +75,19 @@
         constexpr int windowSteps = 100;
         const RetryLimits limits{.ratio = 0.8, .minRetriesPerWindow = 150, .window = absl::Seconds(10)};
         ServiceRetryBudget budget(limits);
-        std::vector<int> repeats(steps, 0);
+        std::vector<int> retries(steps, 0);
         for (int step = 0; step < steps; ++step) {
             const auto now = absl::FromUnixSeconds(1000) + step * absl::Milliseconds(100);
             const bool isOutage = step % 150 > 75;
             if (!isOutage || step % 10 == 0)
                 budget.recordRequest(now);
             for (int n = 0; isOutage && n < 20; ++n)
-                repeats[static_cast<std::size_t>(step)] += budget.tryAcquireRetry(now) ? 1 : 0;
+                retries[static_cast<std::size_t>(step)] += budget.tryAcquireRetry(now) ? 1 : 0;
         }
         for (int from = 0; from + windowSteps <= steps; ++from) {
             int sum = 0;
             for (int step = from; step < from + windowSteps; ++step)
-                sum += repeats[static_cast<std::size_t>(step)];
+                sum += retries[static_cast<std::size_t>(step)];
             // A window holds at most one request per step.
             CPPUNIT_ASSERT(sum <= limits.ratio * windowSteps + limits.minRetriesPerWindow);
         }
@@ -168,44 +168,44 @@
 
     void silentRouterIsRemovedFromEntryPoints()
     {
-        RouterRegistry roster;
-        roster.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, roster.entryPoints(FailureDomain("d"), m_now).size());
+        RouterRegistry registry;
+        registry.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, registry.entryPoints(FailureDomain("d"), m_now).size());
         const auto later = m_now + RouterRegistry::livenessTimeout + absl::Milliseconds(1);
-        CPPUNIT_ASSERT(roster.entryPoints(FailureDomain("d"), later).empty());
+        CPPUNIT_ASSERT(registry.entryPoints(FailureDomain("d"), later).empty());
     }
 
     void drainingRouterIsRemovedFromEntryPointsAtOnce()
     {
-        RouterRegistry roster;
-        roster.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
-        roster.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
-        CPPUNIT_ASSERT(roster.entryPoints(FailureDomain("d"), m_now).empty());
+        RouterRegistry registry;
+        registry.recordReport(member("r1", 1, RouterPhase::Serving), m_now);
+        registry.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
+        CPPUNIT_ASSERT(registry.entryPoints(FailureDomain("d"), m_now).empty());
     }
 
     void earlierIncarnationIsIgnored()
     {
-        RouterRegistry roster;
-        roster.recordReport(member("r1", 2, RouterPhase::Serving), m_now);
-        roster.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, roster.entryPoints(FailureDomain("d"), m_now).size());
+        RouterRegistry registry;
+        registry.recordReport(member("r1", 2, RouterPhase::Serving), m_now);
+        registry.recordReport(member("r1", 1, RouterPhase::Draining), m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, registry.entryPoints(FailureDomain("d"), m_now).size());
         // It is accepted once the later one has gone silent, since the clock that numbers incarnations may
         // have been set back.
         const auto later = m_now + absl::Seconds(10);
-        CPPUNIT_ASSERT(roster.recordReport(member("r1", 1, RouterPhase::Serving), later));
+        CPPUNIT_ASSERT(registry.recordReport(member("r1", 1, RouterPhase::Serving), later));
     }
 
     void routersWithoutStoreAccessAreNotWatchers()
     {
-        RouterRegistry roster;
+        RouterRegistry registry;
         const auto self = member("r3", 1, RouterPhase::Serving);
-        CPPUNIT_ASSERT(roster.shouldWatchStore(self, 1, m_now));
+        CPPUNIT_ASSERT(registry.shouldWatchStore(self, 1, m_now));
         auto other = member("r1", 1, RouterPhase::Serving);
-        roster.recordReport(other, m_now);
-        CPPUNIT_ASSERT(!roster.shouldWatchStore(self, 1, m_now));
+        registry.recordReport(other, m_now);
+        CPPUNIT_ASSERT(!registry.shouldWatchStore(self, 1, m_now));
         other.isStoreTrusted = false;
-        roster.recordReport(other, m_now);
-        CPPUNIT_ASSERT(roster.shouldWatchStore(self, 1, m_now));
+        registry.recordReport(other, m_now);
+        CPPUNIT_ASSERT(registry.shouldWatchStore(self, 1, m_now));
     }
 
 private:
--- a/Tests/LibForwarding/TestTargetPool.cpp
+++ b/Tests/LibForwarding/TestTargetPool.cpp
@@ -26,7 +26,7 @@
     CPPUNIT_TEST(failingTargetIsAvoided);
     CPPUNIT_TEST(copyHolderIsInAnotherDomain);
     CPPUNIT_TEST(targetWithFullMemoryIsAvoided);
-    CPPUNIT_TEST(restartDoesNotDoubleCountLoad);
+    CPPUNIT_TEST(loadOfEarlierProcessIsSubtractedAfterRestart);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -157,9 +157,9 @@
     {
         for (int n = 1; n < targetCount; ++n)
             m_pool.remove(id(n));
-        auto leaving = record(0);
-        leaving.phase = ForwardingTargetPhase::Draining;
-        m_pool.upsert(leaving);
+        auto draining = record(0);
+        draining.phase = ForwardingTargetPhase::Draining;
+        m_pool.upsert(draining);
         CPPUNIT_ASSERT(!m_pool.choose(need(), m_now));
     }
 
@@ -192,7 +192,7 @@
         CPPUNIT_ASSERT(m_pool.choose(need(), m_now) == id(targetCount - 1));
     }
 
-    void restartDoesNotDoubleCountLoad()
+    void loadOfEarlierProcessIsSubtractedAfterRestart()
     {
         m_pool.addLoad(id(0), load());
         auto restarted = record(0);
--- a/Tests/LibGateway/TestViewRelay.cpp
+++ b/Tests/LibGateway/TestViewRelay.cpp
@@ -65,7 +65,7 @@
     CPPUNIT_TEST_SUITE(TestViewRelay);
     CPPUNIT_TEST(changesAreFetchedFromPeer);
     CPPUNIT_TEST(configurationRelayDoesNotDelayTargetRelay);
-    CPPUNIT_TEST(largeConfigurationIsCompressed);
+    CPPUNIT_TEST(largeViewIsCompressed);
     CPPUNIT_TEST(failedCallIsLoggedAndRetried);
     CPPUNIT_TEST(unchangedViewYieldsNoContent);
     CPPUNIT_TEST(invalidPathsAreRejected);
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT(configuration.listener.versions.empty());
     }
 
-    void largeConfigurationIsCompressed()
+    void largeViewIsCompressed()
     {
         constexpr int routes = 1724;
         constexpr std::size_t minCompressionRatio = 8;
--- a/Tests/LibLedger/TestCallLedger.cpp
+++ b/Tests/LibLedger/TestCallLedger.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(forwardsToOwnerAndReturnsItsAnswer);
     CPPUNIT_TEST(reportsUnknownForClaimOfEarlierIncarnation);
     CPPUNIT_TEST(dispatchesConcurrentRequestsOnce);
-    CPPUNIT_TEST(neverRedispatchesExpiredClaim);
+    CPPUNIT_TEST(neverRedispatchesAfterRetentionExpired);
     CPPUNIT_TEST(laterRequestTakesOverVoidedClaim);
     CPPUNIT_TEST(rewritesClaimWhenDelayedVoidMayApply);
     CPPUNIT_TEST(rejectsDifferentBodyUnderSameKey);
@@ -240,7 +240,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), actionCount<AnswerCall>());
     }
 
-    void neverRedispatchesExpiredClaim()
+    void neverRedispatchesAfterRetentionExpired()
     {
         const ClaimRecord record = claimAndDispatch(request());
         handle(DispatchFailed{CallId(1), BytesSent::Maybe});
--- a/Tests/Platform/TestGatewayOnPlatform.cpp
+++ b/Tests/Platform/TestGatewayOnPlatform.cpp
@@ -203,6 +203,7 @@
         CPPUNIT_ASSERT_EQUAL(503, call("GET", "/-/ready", "").head.status);
         CPPUNIT_ASSERT(runUntil([&] { return isDone; }));
         CPPUNIT_ASSERT_EQUAL(m_engineState.completeStream(), response.body);
+        // During shutdown new streams are refused; other requests are still served.
         CPPUNIT_ASSERT_EQUAL(503, call("POST", "/stream/x", "r2").head.status);
         CPPUNIT_ASSERT_EQUAL(200, call("POST", "/book/x", "r3").head.status);
     }
